--- a/crates/front/src/answer.rs
+++ b/crates/front/src/answer.rs
@@ -1,12 +1,12 @@
-//! Answers to clients.
+//! Builds answers to clients.
 
 use bytes::Bytes;
 use http_body_util::Full;
 use hyper::header::{CONTENT_TYPE, HeaderValue, RETRY_AFTER};
 use hyper::{Response, StatusCode};
 
-/// When a client that was refused should come back, in seconds.
-const COME_BACK: &str = "1";
+/// After how many seconds a refused client should retry.
+const RETRY_SECONDS: &str = "1";
 
 /// An answer to a client.
 pub type Answer = Response<Full<Bytes>>;
@@ -14,22 +14,22 @@
 /// An answer with a body in JSON.
 pub fn json(body: String) -> Answer {
     let mut answer = Response::new(Full::from(body));
-    let kind = HeaderValue::from_static("application/json");
-    answer.headers_mut().insert(CONTENT_TYPE, kind);
+    let content_type = HeaderValue::from_static("application/json");
+    answer.headers_mut().insert(CONTENT_TYPE, content_type);
     answer
 }
 
-/// An answer that says why.
+/// An answer with a reason as plain text.
 pub fn plain(status: StatusCode, why: &str) -> Answer {
     let mut answer = Response::new(Full::from(format!("{why}\n")));
     *answer.status_mut() = status;
     answer
 }
 
-/// A refusal of something that was not done, with when to come back.
+/// A refusal of a request that was not carried out, with a time to retry.
 pub fn refuse(status: StatusCode, why: &str) -> Answer {
     let mut answer = plain(status, why);
-    let when = HeaderValue::from_static(COME_BACK);
-    answer.headers_mut().insert(RETRY_AFTER, when);
+    let retry_after = HeaderValue::from_static(RETRY_SECONDS);
+    answer.headers_mut().insert(RETRY_AFTER, retry_after);
     answer
 }
--- a/crates/front/src/ask.rs
+++ b/crates/front/src/ask.rs
@@ -1,4 +1,4 @@
-//! Asks the owners of cells on behalf of clients.
+//! Calls the owners of cells on behalf of clients.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -8,72 +8,60 @@
 use myrtle_job::{JobId, State};
 use myrtle_peer::Seen;
 
-use crate::hedge::beside;
+use crate::hedge::with_backup;
 use crate::host::Host;
 use crate::peers;
 
-/// How long one question to an owner may take.
-const ASK: Duration = Duration::from_millis(700);
+/// The time limit for one call to an owner.
+const CALL_LIMIT: Duration = Duration::from_millis(700);
 
-/// The pause before the owner is looked for again.
-const PAUSE: Duration = Duration::from_millis(100);
+/// The pause before the owner is searched for again.
+const RETRY_PAUSE: Duration = Duration::from_millis(100);
 
-/// Asks the owner of a job's cell until it answers or the client's time is over.
-pub async fn ask(host: &Host, job: JobId, take_back: bool, end: Instant) -> Option<Seen> {
-    let at_home = home(host, job);
-    match ask_cell(host, at_home, job, take_back, end).await {
-        Some(Seen::Moved(to)) => ask_moved(host, to, job, take_back, end).await,
+/// Gets or cancels a job at its owner; returns nothing if none answers before `end`.
+pub async fn ask(host: &Host, job: JobId, cancel: bool, end: Instant) -> Option<Seen> {
+    let cell = cell_of(host, job);
+    match ask_cell(host, cell, job, cancel, end).await {
+        Some(Seen::Moved(to)) => ask_moved(host, to, job, cancel, end).await,
         seen => seen,
     }
 }
 
-/// Asks the cell that looks after a job in place of its home.
-async fn ask_moved(
-    host: &Host,
-    cell: u32,
-    job: JobId,
-    take_back: bool,
-    end: Instant,
-) -> Option<Seen> {
+/// Calls the owner of the cell to which a job was moved.
+async fn ask_moved(host: &Host, cell: u32, job: JobId, cancel: bool, end: Instant) -> Option<Seen> {
     loop {
-        match ask_cell(host, cell, job, take_back, end).await {
-            // It is on its way there, or has been over for long.
-            Some(Seen::Unknown) if !take_back => return Some(Seen::Job(State::Queued)),
-            Some(Seen::Unknown) => sleep(PAUSE.min(left(end))).await,
+        match ask_cell(host, cell, job, cancel, end).await {
+            // The job is still on its way, or ended long ago.
+            Some(Seen::Unknown) if !cancel => return Some(Seen::Job(State::Queued)),
+            Some(Seen::Unknown) => sleep(RETRY_PAUSE.min(left(end))).await,
             seen => return seen,
         }
     }
 }
 
-/// Asks the owner of a cell until it answers or the client's time is over.
-async fn ask_cell(
-    host: &Host,
-    cell: u32,
-    job: JobId,
-    take_back: bool,
-    end: Instant,
-) -> Option<Seen> {
+/// Calls the owner of a cell until it answers or `end` is reached.
+async fn ask_cell(host: &Host, cell: u32, job: JobId, cancel: bool, end: Instant) -> Option<Seen> {
     while Instant::now() < end {
-        let own = match take_back {
+        let here = match cancel {
             true => peers::cancel(host, cell, job).await,
             false => peers::state(host, cell, job).await,
         };
-        if own != Seen::Elsewhere {
-            return Some(own);
+        if here != Seen::Elsewhere {
+            return Some(here);
         }
         if let Some(at) = host.owners.find(host, cell).await.filter(|at| *at != host.peer()) {
-            let most = if take_back { 4 * ASK } else { ASK };
+            let limit = if cancel { 4 * CALL_LIMIT } else { CALL_LIMIT };
             let call = || {
-                host.owners.call(at, most.min(left(end)), |c, context| async move {
-                    match take_back {
+                host.owners.call(at, limit.min(left(end)), |c, context| async move {
+                    match cancel {
                         true => c.cancel(context, cell, job).await,
                         false => c.state(context, cell, job).await,
                     }
                 })
             };
-            // A commit may take long; a connection that went silent must not take the client's time.
-            let answer = match take_back {
-                true => beside(ASK, call).await,
+            // A commit may take long, but a dead connection must not use up the client's time.
+            let answer = match cancel {
+                true => with_backup(CALL_LIMIT, call).await,
                 false => call().await,
             };
             match answer {
@@ -81,20 +69,20 @@
                 seen => return seen,
             }
         }
-        host.owners.doubt(cell);
-        sleep(PAUSE.min(left(end))).await;
+        host.owners.suspect(cell);
+        sleep(RETRY_PAUSE.min(left(end))).await;
     }
     None
 }
 
-/// How many jobs of each queue have not begun in a cell; nothing if no owner answers in time.
+/// The number of pending jobs of each queue in a cell; nothing if no owner answers before `end`.
 pub async fn counts(host: &Host, cell: u32, end: Instant) -> Option<BTreeMap<String, u64>> {
     while Instant::now() < end {
         if let Some(counts) = peers::pending(host, cell) {
             return Some(counts);
         }
         if let Some(at) = host.owners.find(host, cell).await.filter(|at| *at != host.peer()) {
-            let limit = ASK.min(left(end));
+            let limit = CALL_LIMIT.min(left(end));
             let call = host
                 .owners
                 .call(at, limit, |c, context| async move { c.pending(context, cell).await });
@@ -102,18 +90,18 @@
                 return Some(counts);
             }
         }
-        host.owners.doubt(cell);
-        sleep(PAUSE.min(left(end))).await;
+        host.owners.suspect(cell);
+        sleep(RETRY_PAUSE.min(left(end))).await;
     }
     None
 }
 
 /// The cell of a job.
-pub fn home(host: &Host, job: JobId) -> u32 {
-    host.layout().map_or(0, |l| l.home(job))
+pub fn cell_of(host: &Host, job: JobId) -> u32 {
+    host.layout().map_or(0, |l| l.job_cell(job))
 }
 
-/// The time that is left until a moment.
+/// The time left until `end`.
 pub fn left(end: Instant) -> Duration {
     end.saturating_duration_since(Instant::now())
 }
--- a/crates/front/src/backoff.rs
+++ b/crates/front/src/backoff.rs
@@ -1,32 +1,32 @@
-//! Pauses between tries that fail, each twice as long as the one before.
+//! Pauses between failed attempts, each twice as long as the one before.
 //!
-//! Load pattern: the store turns many hosts of a large fleet away for seconds; each refusal costs as much as an answer,
-//! and what all of them ask at a short pause takes the store's time from the others.
+//! Load pattern: the store rejects the calls of many hosts of a large fleet for seconds. Each rejection costs it as
+//! much as an answer, so frequent retries of all these hosts would take its time from the others.
 
 use std::time::Duration;
 
-/// The pauses of one row of tries.
+/// The pauses of a series of attempts.
 #[derive(Debug)]
 pub struct Backoff {
     first: Duration,
-    longest: Duration,
+    max: Duration,
     next: Duration,
 }
 
 impl Backoff {
-    /// Begins with the first pause, and doubles up to the longest.
-    pub fn new(first: Duration, longest: Duration) -> Self {
-        Self { first, longest, next: first }
+    /// Starts with the first pause, and doubles up to the maximum.
+    pub fn new(first: Duration, max: Duration) -> Self {
+        Self { first, max, next: first }
     }
 
-    /// The pause after a try that failed.
+    /// Returns the pause after a failed attempt.
     pub fn pause(&mut self) -> Duration {
         let pause = self.next;
-        self.next = (2 * pause).min(self.longest);
+        self.next = (2 * pause).min(self.max);
         pause
     }
 
-    /// A try went well.
+    /// Starts again with the first pause after a success.
     pub fn reset(&mut self) {
         self.next = self.first;
     }
--- a/crates/front/src/balance.rs
+++ b/crates/front/src/balance.rs
@@ -1,4 +1,4 @@
-//! Asks other cells how full they are, and puts jobs and tasks into their logs that they look after.
+//! Asks other cells for their load, and appends transferred jobs and tasks to their logs.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -19,25 +19,25 @@
 use crate::owned::Owned;
 use crate::peers;
 
-/// The time between two rounds of questions.
+/// The time between two rounds.
 const EVERY: Duration = Duration::from_millis(300);
 
-/// How long another owner may take to answer.
-const ASK: Duration = Duration::from_millis(300);
+/// The time limit for a call to another owner.
+const ASK_LIMIT: Duration = Duration::from_millis(300);
 
-/// The most cells that are asked in a round; the best of a few is nearly as good as the best of all.
-const ASKED: u32 = 3;
+/// The largest number of cells asked in a round; the best of a few is nearly as good as the best of all.
+const MAX_ASKED: u32 = 3;
 
-/// Rounds between two looks for jobs that other cells have forgotten: half a minute.
+/// The number of rounds between two checks for jobs that other cells have forgotten: half a minute.
 const FORGET_EVERY: u32 = 100;
 
-/// How long the store may take to hold a job.
-const LIMIT: Duration = Duration::from_millis(2_500);
+/// The time limit for an append.
+const APPEND_LIMIT: Duration = Duration::from_millis(2_500);
 
-/// The pause after a call that failed.
-const PAUSE: Duration = Duration::from_millis(100);
+/// The pause after a failed append.
+const RETRY_PAUSE: Duration = Duration::from_millis(100);
 
-/// Asks other cells until this one is another host's.
+/// Asks other cells for their load until the owner is closed.
 pub async fn run(host: Arc<Host>, owned: Arc<Owned>) {
     let count = host.layout().map_or(1, Layout::count);
     if count < 2 {
@@ -46,9 +46,9 @@
     let mut rounds = 0u32;
     while !owned.closed() {
         let first = rand::random_range(0..count);
-        for cell in (0..count.min(ASKED + 1)).map(|n| (first + n) % count) {
+        for cell in (0..count.min(MAX_ASKED + 1)).map(|n| (first + n) % count) {
             if cell != owned.cell
-                && let Some(load) = load(&host, cell).await
+                && let Some(load) = load_of(&host, cell).await
             {
                 owned.state().hear(cell, load, now());
             }
@@ -61,30 +61,30 @@
     }
 }
 
-/// How full a cell is, if its owner tells.
-async fn load(host: &Host, cell: u32) -> Option<Load> {
+/// The load of a cell; nothing if its owner does not answer.
+async fn load_of(host: &Host, cell: u32) -> Option<Load> {
     if let Some(load) = peers::load(host, cell) {
         return Some(load);
     }
     let at = host.owners.find(host, cell).await.filter(|at| *at != host.peer())?;
-    host.owners.call(at, ASK, |c, context| async move { c.load(context, cell).await }).await?
+    host.owners.call(at, ASK_LIMIT, |c, context| async move { c.load(context, cell).await }).await?
 }
 
-/// Forgets jobs that the cells which looked after them no longer know.
+/// Forgets moved jobs that their new cells no longer have.
 async fn forget(host: &Host, owned: &Owned) {
-    let old = owned.state().perhaps_forgotten(wall());
-    for (job, cell) in old {
+    let candidates = owned.state().perhaps_forgotten(wall());
+    for (job, cell) in candidates {
         let Some(at) = host.owners.find(host, cell).await else {
             continue;
         };
         let ask = |c: FrontPeerClient, context| async move { c.state(context, cell, job).await };
-        if host.owners.call(at, ASK, ask).await == Some(Seen::Unknown) {
+        if host.owners.call(at, ASK_LIMIT, ask).await == Some(Seen::Unknown) {
             owned.state().forget_moved(job);
         }
     }
 }
 
-/// Puts jobs and tasks into the logs of the cells that look after them.
+/// Appends transferred jobs and tasks to the logs of their new cells, each in its own task.
 pub fn deliver_all(host: &Arc<Host>, owned: &Arc<Owned>, deliveries: Vec<Delivery>) {
     for delivery in deliveries {
         let (host, owned) = (host.clone(), owned.clone());
@@ -92,28 +92,28 @@
     }
 }
 
-/// Puts a record into another cell's log; a repeat writes the same one, so it does no harm.
+/// Appends a record to another cell's log; a repeated append writes the same record, so it is harmless.
 ///
-/// A host that stops goes on until it ends: the next owner would only find out after its takeover.
+/// A stopping host continues until its process ends, as its successor would do this only after the takeover.
 async fn deliver(host: &Host, owned: &Owned, delivery: Delivery) {
     let Delivery { key, to, record } = delivery;
     let mut body = BytesMut::new();
     frame_keyed(&mut body, &key.to_string(), &record);
     let body = body.freeze();
     while !owned.deposed() {
-        match host.store.append(JOBS, to, None, body.clone(), LIMIT).await {
-            Ok(_) => return delivered(owned, key, to),
+        match host.store.append(JOBS, to, None, body.clone(), APPEND_LIMIT).await {
+            Ok(_) => return mark_delivered(owned, key, to),
             Err(e) => {
                 warn!("event=not-delivered key={key} to={to} reason=\"{e}\"");
-                host.store_missed(&e);
-                sleep(PAUSE).await;
+                host.store_failed(&e);
+                sleep(RETRY_PAUSE).await;
             }
         }
     }
 }
 
-fn delivered(owned: &Owned, key: Key, to: u32) {
+fn mark_delivered(owned: &Owned, key: Key, to: u32) {
     info!("event=delivered key={key} to={to}");
     owned.state().delivered(key);
-    owned.work.notify_one();
+    owned.wake.notify_one();
 }
--- a/crates/front/src/busy.rs
+++ b/crates/front/src/busy.rs
@@ -1,4 +1,4 @@
-//! Where an owner's time goes, and how late it is, for logs.
+//! Measures an owner's processor time and timer delays, for logs.
 
 use std::fmt;
 use std::sync::atomic::{AtomicU64, Ordering};
@@ -6,56 +6,56 @@
 
 use tokio::time::Instant;
 
-/// What an owner does by itself, without waiting for others.
+/// The kinds of an owner's work, without waits for others.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Work {
-    /// Finds workers for tasks.
+    /// Placement of tasks.
     Plan,
-    /// Encodes what is to be written.
+    /// Encoding of batches.
     Batch,
-    /// Takes in what workers tell.
-    Held,
-    /// Looks at leases, paces and repeats.
-    Look,
+    /// Processing of workers' reports.
+    Report,
+    /// Periodic checks of leases, speed limits and repeats.
+    Tick,
 }
 
-/// The time that each kind of work took, and the latest timer, since the last line that told it.
+/// The time of each kind of work and the longest timer delay since the last summary.
 #[derive(Debug, Default)]
 pub struct Busy {
     micros: [AtomicU64; 4],
     late: AtomicU64,
 }
 
-/// What is told of an owner's time.
+/// A summary of an owner's time, in milliseconds.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Spent {
+pub struct Summary {
     millis: [u64; 4],
     late: u64,
 }
 
 impl Busy {
-    /// Does some work and counts its time.
-    pub fn spend<T>(&self, work: Work, what: impl FnOnce() -> T) -> T {
+    /// Runs some work and adds up its time.
+    pub fn measure<T>(&self, work: Work, run: impl FnOnce() -> T) -> T {
         let began = Instant::now();
-        let value = what();
+        let value = run();
         let took = began.elapsed().as_micros() as u64;
         self.micros[work as usize].fetch_add(took, Ordering::Relaxed);
         value
     }
 
-    /// Notes how late a timer fired.
+    /// Records how late a timer fired.
     pub fn late(&self, by: Duration) {
         self.late.fetch_max(by.as_millis() as u64, Ordering::Relaxed);
     }
 
-    /// What there was since the last call.
-    pub fn take(&self) -> Spent {
+    /// Returns the summary since the last call.
+    pub fn take(&self) -> Summary {
         let millis = self.micros.each_ref().map(|m| m.swap(0, Ordering::Relaxed) / 1_000);
-        Spent { millis, late: self.late.swap(0, Ordering::Relaxed) }
+        Summary { millis, late: self.late.swap(0, Ordering::Relaxed) }
     }
 }
 
-impl fmt::Display for Spent {
+impl fmt::Display for Summary {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         let [plan, batch, held, look] = self.millis;
         let late = self.late;
--- a/crates/front/src/discover.rs
+++ b/crates/front/src/discover.rs
@@ -1,4 +1,4 @@
-//! Finds the cells of the deployment in the log, or has a part in cutting them.
+//! Reads the layout of cells from the store, or takes part in computing it.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -10,98 +10,99 @@
 use myrtle_adapter::{Item, StoreError, Writer, frame_keyed, read_listing, topics, unframe_keyed};
 use myrtle_job::{decode, encode};
 
-use crate::fleet::Announced;
+use crate::fleet::Announcement;
 use crate::host::Host;
 use crate::layout::Layout;
 use crate::names::{HOSTS, LAYOUT};
 use crate::newest::newest;
 use crate::settings::Cells;
-use crate::survey::{DOUBLED, Survey};
+use crate::survey::{DOUBLE_EVERY, Survey};
 
-/// How long the store may take.
-const LIMIT: Duration = Duration::from_millis(2_000);
+/// The time limit for a call to the store.
+const CALL_LIMIT: Duration = Duration::from_millis(2_000);
 
-/// The pause between two looks.
-const PAUSE: Duration = Duration::from_millis(700);
+/// The pause between two rounds.
+const ROUND_PAUSE: Duration = Duration::from_millis(700);
 
-/// The most classes of strength; the strongest carries 2,048 workers and more.
-const CLASSES: u32 = 12;
+/// The largest number of capacity classes; the last one holds hosts for 2,048 workers and more.
+const MAX_CLASSES: u32 = 12;
 
-/// The key of the layout.
+/// The key of the layout's record and the name of its writer.
 const KEY: &str = "cells";
 
-/// Waits until the cells are known; the first host to write them decides for all.
+/// Waits for the layout; the first host to write one decides for all.
 pub async fn find(host: &Host) -> Layout {
     if host.settings.cells == Cells::One {
         return Layout::default();
     }
-    let mut search = Search { host, survey: Survey::default(), place: None, from: None };
+    let mut search = Search { host, survey: Survey::default(), rank: None, from: None };
     loop {
-        match search.look().await {
+        match search.round().await {
             Ok(Some(layout)) => {
                 info!(
                     "event=layout cells={} centres=\"{layout}\" size={} carries={}",
                     layout.count(),
-                    layout.size(),
-                    host.settings.carries()
+                    layout.max_size(),
+                    host.settings.max_workers()
                 );
                 return layout;
             }
             Ok(None) => host.store_reached(),
             Err(e) => {
-                host.store_missed(&e);
-                search.survey.pass(1);
-                sleep(PAUSE).await;
+                host.store_failed(&e);
+                search.survey.add_rounds(1);
+                sleep(ROUND_PAUSE).await;
             }
         }
     }
 }
 
-/// A host that looks for the cells.
+/// The search of one host for the layout.
 struct Search<'a> {
     host: &'a Host,
     survey: Survey,
-    /// How many hosts of its class were there before it, once it has announced itself.
-    place: Option<usize>,
-    /// Where the topic of the cells goes on, once it has been read.
+    /// The number of hosts of the same class that announced themselves before, once this one has.
+    rank: Option<usize>,
+    /// The next offset of the layout's topic, once it has been read.
     from: Option<u64>,
 }
 
 impl Search<'_> {
-    /// Has a part in cutting the cells if this host's turn has come, and waits for them a while.
-    async fn look(&mut self) -> Result<Option<Layout>, StoreError> {
+    /// Takes part in computing the layout if this host is among the counters, then waits for it.
+    async fn round(&mut self) -> Result<Option<Layout>, StoreError> {
         if self.from.is_none()
-            && let Some(layout) = self.whole().await?
+            && let Some(layout) = self.read_layout().await?
         {
             return Ok(Some(layout));
         }
-        let place = match self.place {
-            Some(place) => place,
-            None => *self.place.insert(announce(self.host).await?),
+        let rank = match self.rank {
+            Some(rank) => rank,
+            None => *self.rank.insert(announce(self.host).await?),
         };
-        // Those of a class that is full wait until more are to count.
-        let first = place < self.survey.counters();
-        let counts = first && place + stronger(self.host).await? < self.survey.counters();
-        if counts {
-            self.count().await?;
+        // Hosts further back in their class wait until the number of counters has doubled.
+        let may_count = rank < self.survey.counters();
+        let is_counter =
+            may_count && rank + count_larger(self.host).await? < self.survey.counters();
+        if is_counter {
+            self.survey_fleet().await?;
         }
-        let looks = if first { 1 } else { DOUBLED };
-        self.survey.pass(looks);
-        self.wait(PAUSE * looks).await
+        let rounds = if may_count { 1 } else { DOUBLE_EVERY };
+        self.survey.add_rounds(rounds);
+        self.wait_layout(ROUND_PAUSE * rounds).await
     }
 
-    /// Reads the cells, if they are known.
-    async fn whole(&mut self) -> Result<Option<Layout>, StoreError> {
+    /// Reads the layout, if there is one.
+    async fn read_layout(&mut self) -> Result<Option<Layout>, StoreError> {
         let mut found = None;
         let take = |item: Item| found = Layout::read(&item.value).ok();
-        self.from = Some(newest(self.host, LAYOUT, 0, LIMIT, take).await?);
+        self.from = Some(newest(self.host, LAYOUT, 0, CALL_LIMIT, take).await?);
         Ok(found)
     }
 
-    /// Waits for the cells to be written.
-    async fn wait(&mut self, time: Duration) -> Result<Option<Layout>, StoreError> {
+    /// Waits for the layout to be written.
+    async fn wait_layout(&mut self, time: Duration) -> Result<Option<Layout>, StoreError> {
         let from = self.from.unwrap_or_default();
-        let page = match self.host.store.read(LAYOUT, 0, from, time, time + LIMIT).await {
+        let page = match self.host.store.read(LAYOUT, 0, from, time, time + CALL_LIMIT).await {
             Ok(page) => page,
             Err(StoreError::Gone { .. }) => {
                 self.from = None;
@@ -114,57 +115,57 @@
         Ok(values.filter_map(|framed| Layout::read(&framed.value).ok()).next())
     }
 
-    /// Counts hosts and workers, and writes the cells that follow once that is steady.
-    async fn count(&mut self) -> Result<(), StoreError> {
+    /// Counts hosts and workers, and writes the layout once both are steady.
+    async fn survey_fleet(&mut self) -> Result<(), StoreError> {
         let host = self.host;
-        self.survey.hosts(hosts(host).await?);
-        let workers = count(host).await?;
+        self.survey.hosts(read_hosts(host).await?);
+        let workers = count_workers(host).await?;
         let layout = self.survey.workers(workers, host.settings.cells, host.settings.parts);
         let Some(layout) = layout else {
             return Ok(());
         };
         let (hosts, workers) = (self.survey.fleet().hosts.len(), &self.survey.fleet().workers);
         info!("event=layout-proposed cells={} hosts={hosts} workers={workers:?}", layout.count());
-        write(host, &layout).await
+        write_layout(host, &layout).await
     }
 }
 
-/// How many classes of strength the store has partitions for.
-fn classes(host: &Host) -> u32 {
-    CLASSES.min(host.settings.parts as u32)
+/// The number of capacity classes for which the store has partitions.
+fn class_count(host: &Host) -> u32 {
+    MAX_CLASSES.min(host.settings.parts as u32)
 }
 
-/// What this host tells the others of itself.
-fn own(host: &Host) -> Announced {
+/// This host's announcement.
+fn announcement(host: &Host) -> Announcement {
     let settings = &host.settings;
-    Announced { data_centre: settings.data_centre.clone(), carries: settings.carries() }
+    Announcement { data_centre: settings.data_centre.clone(), max_workers: settings.max_workers() }
 }
 
-/// Tells the other hosts what this one carries; how many of its class were there before it.
+/// Announces this host; returns how many hosts of its class did so before.
 async fn announce(host: &Host) -> Result<usize, StoreError> {
-    let own = own(host);
+    let announcement = announcement(host);
     let mut body = BytesMut::new();
-    frame_keyed(&mut body, &host.settings.name, &encode(&own));
-    let class = own.class(classes(host));
-    let end = host.store.append(HOSTS, class, None, body.freeze(), LIMIT).await?;
+    frame_keyed(&mut body, &host.settings.name, &encode(&announcement));
+    let class = announcement.class(class_count(host));
+    let end = host.store.append(HOSTS, class, None, body.freeze(), CALL_LIMIT).await?;
     Ok(end.saturating_sub(1) as usize)
 }
 
-/// How many hosts of stronger classes have announced themselves.
-async fn stronger(host: &Host) -> Result<usize, StoreError> {
+/// The number of announcements in classes of more capacity.
+async fn count_larger(host: &Host) -> Result<usize, StoreError> {
     let mut sum = 0;
-    for class in own(host).class(classes(host)) + 1..classes(host) {
-        // An append of nothing tells where the partition ends.
-        sum += host.store.append(HOSTS, class, None, Bytes::new(), LIMIT).await?;
+    for class in announcement(host).class(class_count(host)) + 1..class_count(host) {
+        // An empty append returns the end of the partition.
+        sum += host.store.append(HOSTS, class, None, Bytes::new(), CALL_LIMIT).await?;
     }
     Ok(sum as usize)
 }
 
-/// What the hosts have told of themselves.
-async fn hosts(host: &Host) -> Result<BTreeMap<String, Announced>, StoreError> {
+/// Reads the announcements of all hosts.
+async fn read_hosts(host: &Host) -> Result<BTreeMap<String, Announcement>, StoreError> {
     let mut hosts = BTreeMap::new();
-    for class in 0..classes(host) {
-        newest(host, HOSTS, class, LIMIT, |item| match decode(&item.value) {
+    for class in 0..class_count(host) {
+        newest(host, HOSTS, class, CALL_LIMIT, |item| match decode(&item.value) {
             Ok(announced) => drop(hosts.insert(item.key, announced)),
             Err(e) => warn!("event=host-unread host={} reason=\"{e}\"", item.key),
         })
@@ -173,10 +174,10 @@
     Ok(hosts)
 }
 
-/// How many workers each data centre lists.
-async fn count(host: &Host) -> Result<BTreeMap<String, usize>, StoreError> {
+/// Counts the listed workers of each data centre.
+async fn count_workers(host: &Host) -> Result<BTreeMap<String, usize>, StoreError> {
     let mut workers = BTreeMap::new();
-    newest(host, topics::WORKERS, 0, LIMIT, |item| {
+    newest(host, topics::WORKERS, 0, CALL_LIMIT, |item| {
         if let Ok(listing) = read_listing(&item.value, item.offset)
             && host.configuration().is_none_or(|c| c.names(&listing.service))
         {
@@ -187,11 +188,11 @@
     Ok(workers)
 }
 
-async fn write(host: &Host, layout: &Layout) -> Result<(), StoreError> {
+async fn write_layout(host: &Host, layout: &Layout) -> Result<(), StoreError> {
     let mut body = BytesMut::new();
     frame_keyed(&mut body, KEY, &encode(layout));
-    // All hosts write as the same writer's first call: the store takes one of them.
+    // All hosts use the first call number of the same writer, so the store takes only one layout.
     let writer = Writer { name: KEY, epoch: 1, number: 0 };
-    host.store.append(LAYOUT, 0, Some(writer), body.freeze(), LIMIT).await?;
+    host.store.append(LAYOUT, 0, Some(writer), body.freeze(), CALL_LIMIT).await?;
     Ok(())
 }
--- a/crates/front/src/entry.rs
+++ b/crates/front/src/entry.rs
@@ -1,4 +1,4 @@
-//! Answers clients: takes jobs, tells their states, cancels them, counts those that wait.
+//! Serves clients: accepts jobs, returns their states, cancels them, and counts pending ones.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -16,28 +16,28 @@
 use myrtle_peer::{Passed, Seen};
 
 use crate::answer::{Answer, json, plain, refuse};
-use crate::ask::{ask, counts, home, left};
+use crate::ask::{ask, cell_of, counts, left};
 use crate::clock::wall;
 use crate::host::Host;
 use crate::intake;
 use crate::layout::Layout;
 
-/// What is kept of a client's time for the way back.
-const WAY_BACK: Duration = Duration::from_millis(60);
+/// The part of a client's time that is reserved for the reply.
+const REPLY_TIME: Duration = Duration::from_millis(60);
 
-/// How long a client waits if neither it nor the queue says so.
-const USUAL: Duration = Duration::from_secs(3);
+/// The time limit if neither the client nor the queue sets one.
+const DEFAULT_LIMIT: Duration = Duration::from_secs(3);
 
-/// What a client asked for.
-struct Asked<'a> {
+/// The queue and path of a client's request, and when it has to be answered.
+struct Target<'a> {
     queue: &'a Queue,
     rest: &'a str,
     end: Instant,
 }
 
-/// Answers one request.
+/// Serves one request.
 pub async fn serve(host: Arc<Host>, request: Request<Incoming>) -> Answer {
-    let began = Instant::now();
+    let started = Instant::now();
     let Some(configuration) = host.configuration() else {
         return refuse(StatusCode::SERVICE_UNAVAILABLE, "no configuration is known yet");
     };
@@ -47,50 +47,50 @@
     let path = request.uri().path().to_string();
     let name = request.headers().get(HOST).and_then(|h| h.to_str().ok()).unwrap_or("");
     let Some(queue) = find(&configuration, name, &path) else {
-        if !host.in_touch() {
-            // A later configuration may know it.
+        if !host.in_contact() {
+            // A newer configuration may have it.
             return refuse(StatusCode::SERVICE_UNAVAILABLE, "the configuration may be out of date");
         }
         return plain(StatusCode::NOT_FOUND, "no queue has this host and path");
     };
-    let asked_for = request.headers().get(headers::DEADLINE);
-    let asked_for = asked_for.and_then(|h| h.to_str().ok()?.parse().ok());
-    let limit = asked_for.or((queue.timeout > 0).then_some(queue.timeout));
-    let limit = limit.map_or(USUAL, Duration::from_millis);
-    let end = began + limit.saturating_sub(WAY_BACK);
+    let requested = request.headers().get(headers::DEADLINE);
+    let requested = requested.and_then(|h| h.to_str().ok()?.parse().ok());
+    let limit = requested.or((queue.timeout > 0).then_some(queue.timeout));
+    let limit = limit.map_or(DEFAULT_LIMIT, Duration::from_millis);
+    let end = started + limit.saturating_sub(REPLY_TIME);
     let rest = path.strip_prefix(&queue.prefix).unwrap_or("").to_string();
-    let asked = Asked { queue, rest: &rest, end };
+    let target = Target { queue, rest: &rest, end };
     let method = request.method().clone();
     let answer = match method {
-        Method::POST => submit(&host, &configuration, &asked, request).await,
-        Method::GET if rest.is_empty() => count(&host, &asked).await,
-        Method::GET => look(&host, &asked).await,
-        Method::DELETE => cancel(&host, &asked).await,
+        Method::POST => submit(&host, &configuration, &target, request).await,
+        Method::GET if rest.is_empty() => count(&host, &target).await,
+        Method::GET => state(&host, &target).await,
+        Method::DELETE => cancel(&host, &target).await,
         _ => plain(StatusCode::METHOD_NOT_ALLOWED, "use POST, GET or DELETE"),
     };
-    host.meter.took("myrtle_answer_micros", method.as_str(), began.elapsed());
+    host.meter.took("myrtle_answer_micros", method.as_str(), started.elapsed());
     host.meter.count("myrtle_answers", answer.status().as_str());
     answer
 }
 
-/// The queue with the longest prefix of the path.
+/// Finds the queue with this host and the longest prefix of the path.
 fn find<'a>(configuration: &'a Configuration, host: &str, path: &str) -> Option<&'a Queue> {
     let host = host.split(':').next().unwrap_or(host);
     let fits = |q: &&Queue| q.host.eq_ignore_ascii_case(host) && path.starts_with(&q.prefix);
     configuration.queues.iter().filter(fits).max_by_key(|q| q.prefix.len())
 }
 
-/// Takes a job.
+/// Accepts a job.
 async fn submit(
     host: &Host,
     configuration: &Configuration,
-    asked: &Asked<'_>,
+    target: &Target<'_>,
     request: Request<Incoming>,
 ) -> Answer {
-    let Ok(job) = asked.rest.parse::<JobId>() else {
+    let Ok(job) = target.rest.parse::<JobId>() else {
         return plain(StatusCode::BAD_REQUEST, "the path must end with 16 hexadecimal digits");
     };
-    let body = match read_body(request, configuration, asked.end, job).await {
+    let body = match read_body(request, configuration, target.end, job).await {
         Ok(body) => body,
         Err(answer) => return answer,
     };
@@ -102,13 +102,13 @@
         }
     };
     let steps = spec.steps.len();
-    let policy = asked.queue.policy.clone();
+    let policy = target.queue.policy.clone();
     let record = encode(&Submission { policy, spec, taken: wall() });
-    let cell = home(host, job);
-    let began = Instant::now();
-    let passed = intake::accept(host, cell, job, record, left(asked.end)).await;
-    let took = began.elapsed().as_millis();
-    let queue = &asked.queue.policy.queue;
+    let cell = cell_of(host, job);
+    let started = Instant::now();
+    let passed = intake::accept(host, cell, job, record, left(target.end)).await;
+    let took = started.elapsed().as_millis();
+    let queue = &target.queue.policy.queue;
     let version = configuration.version;
     info!(
         "event=job-taken job={job} queue={queue} cell={cell} steps={steps} version={version} \
@@ -122,7 +122,7 @@
     }
 }
 
-/// Reads the body of a job; an answer to the client if that fails.
+/// Reads the body of a job; fails with the answer to the client.
 async fn read_body(
     request: Request<Incoming>,
     configuration: &Configuration,
@@ -143,12 +143,12 @@
     }
 }
 
-/// Tells the state of a job.
-async fn look(host: &Host, asked: &Asked<'_>) -> Answer {
-    let Ok(job) = asked.rest.parse::<JobId>() else {
+/// Returns the state of a job.
+async fn state(host: &Host, target: &Target<'_>) -> Answer {
+    let Ok(job) = target.rest.parse::<JobId>() else {
         return plain(StatusCode::GONE, "no such job");
     };
-    match ask(host, job, false, asked.end).await {
+    match ask(host, job, false, target.end).await {
         Some(Seen::Job(state)) => json(state_body(state)),
         Some(_) => plain(StatusCode::GONE, "no such job"),
         None => {
@@ -158,12 +158,12 @@
     }
 }
 
-/// Takes a job back.
-async fn cancel(host: &Host, asked: &Asked<'_>) -> Answer {
-    let Ok(job) = asked.rest.parse::<JobId>() else {
+/// Cancels a job.
+async fn cancel(host: &Host, target: &Target<'_>) -> Answer {
+    let Ok(job) = target.rest.parse::<JobId>() else {
         return plain(StatusCode::GONE, "no such job");
     };
-    let seen = ask(host, job, true, asked.end).await;
+    let seen = ask(host, job, true, target.end).await;
     info!("event=cancel-asked job={job} outcome={seen:?}");
     match seen {
         Some(Seen::Job(_)) => Response::new(Full::default()),
@@ -172,14 +172,14 @@
     }
 }
 
-/// Counts the jobs of a queue that have not begun, over all cells.
-async fn count(host: &Host, asked: &Asked<'_>) -> Answer {
+/// Counts the pending jobs of a queue over all cells.
+async fn count(host: &Host, target: &Target<'_>) -> Answer {
     let mut sum = 0;
     for cell in 0..host.layout().map_or(1, Layout::count) {
-        let Some(counts) = counts(host, cell, asked.end).await else {
+        let Some(counts) = counts(host, cell, target.end).await else {
             return refuse(StatusCode::SERVICE_UNAVAILABLE, "an owner can't be reached");
         };
-        sum += counts.get(&asked.queue.policy.queue).copied().unwrap_or(0);
+        sum += counts.get(&target.queue.policy.queue).copied().unwrap_or(0);
     }
     json(pending_body(sum))
 }
--- a/crates/front/src/fleet.rs
+++ b/crates/front/src/fleet.rs
@@ -1,7 +1,7 @@
-//! What the cells of a deployment follow from: its workers, and what its hosts carry.
+//! The hosts and workers of a deployment, from which its cells follow.
 //!
-//! Load pattern: hosts of any strength start at the same time, and whichever cuts the cells decides for all; many small
-//! cells lose most at high load. So they follow from all hosts. docs/CAPACITY.md holds the figures.
+//! Load pattern: hosts of unlike capacity start at the same time, and the first to write the cells decides for all;
+//! many small cells lose most at high load. So the cells follow from all hosts. docs/CAPACITY.md holds the figures.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -10,19 +10,19 @@
 use crate::layout::Layout;
 use crate::settings::Cells;
 
-/// What a host tells of itself.
+/// A host's announcement to the other hosts.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Announced {
-    /// Its data centre.
+pub struct Announcement {
+    /// The host's data centre.
     pub data_centre: String,
-    /// The largest cell that it can own, in workers.
-    pub carries: usize,
+    /// The host's capacity, in workers.
+    pub max_workers: usize,
 }
 
-impl Announced {
-    /// The host's class of strength, from 0 to below `classes`: one more for each doubling of what it carries.
+impl Announcement {
+    /// The host's capacity class, from 0 to below `classes`; each class doubles the capacity.
     pub fn class(&self, classes: u32) -> u32 {
-        self.carries.max(1).ilog2().min(classes.saturating_sub(1))
+        self.max_workers.max(1).ilog2().min(classes.saturating_sub(1))
     }
 }
 
@@ -30,29 +30,29 @@
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct Fleet {
     /// The hosts, by name.
-    pub hosts: BTreeMap<String, Announced>,
-    /// How many workers each data centre has.
+    pub hosts: BTreeMap<String, Announcement>,
+    /// The number of workers of each data centre.
     pub workers: BTreeMap<String, usize>,
 }
 
 impl Fleet {
-    /// The cells of the fleet, of which the store has room for `parts`.
+    /// Divides the workers into cells; the store has `partitions` for them.
     ///
-    /// The fewest that its hosts can own, also after any one of them is lost; where there are too few
-    /// hosts for that, the fewest that they can own; else as many as its weakest host calls for.
-    pub fn layout(&self, cells: Cells, parts: usize) -> Layout {
-        let strengths: BTreeSet<usize> = self.hosts.values().map(|h| h.carries).collect();
-        let cut = |largest: usize| Layout::new(cells, &self.workers, largest, parts);
-        let fewest = |spare: bool| {
-            let layouts = strengths.iter().rev().map(|&largest| cut(largest));
-            layouts.into_iter().find(|layout| self.owns(layout, spare))
+    /// Takes the fewest cells that the hosts can own after the loss of any one host, or else with all hosts, or else as
+    /// many as the host with the least capacity needs.
+    pub fn layout(&self, cells: Cells, partitions: usize) -> Layout {
+        let capacities: BTreeSet<usize> = self.hosts.values().map(|h| h.max_workers).collect();
+        let divide = |largest: usize| Layout::new(cells, &self.workers, largest, partitions);
+        let fewest_cells = |spare: bool| {
+            let layouts = capacities.iter().rev().map(|&largest| divide(largest));
+            layouts.into_iter().find(|layout| self.can_own(layout, spare))
         };
-        let weakest = || cut(strengths.first().copied().unwrap_or(usize::MAX));
-        let layout = fewest(true).or_else(|| fewest(false)).unwrap_or_else(weakest);
+        let smallest = || divide(capacities.first().copied().unwrap_or(usize::MAX));
+        let layout = fewest_cells(true).or_else(|| fewest_cells(false)).unwrap_or_else(smallest);
         layout.with_hosts(self.hosts_by_centre())
     }
 
-    /// How many hosts each data centre has.
+    /// The number of hosts of each data centre.
     fn hosts_by_centre(&self) -> BTreeMap<String, usize> {
         let mut hosts = BTreeMap::new();
         for host in self.hosts.values() {
@@ -61,33 +61,33 @@
         hosts
     }
 
-    /// Whether the hosts that look after the cells can own them, also without the strongest of them if
-    /// one is to be `spare`.
-    fn owns(&self, layout: &Layout, spare: bool) -> bool {
+    /// Whether the local hosts of each cell have the capacity; with `spare` also without the largest of them.
+    fn can_own(&self, layout: &Layout, spare: bool) -> bool {
         if layout.centres().is_empty() {
-            return self.carry(layout.size(), 1, spare, |_| true);
+            return self.can_fit(layout.max_size(), 1, spare, |_| true);
         }
         let spans: BTreeSet<(u32, u32)> =
             layout.centres().values().map(|span| (span.first, span.count)).collect();
         spans.into_iter().all(|(first, count)| {
-            let home = |h: &Announced| layout.at_home(first, &h.data_centre);
-            // Data centres without hosts are looked after by those of others.
-            let nobody = !self.hosts.values().any(home);
+            let local = |h: &Announcement| layout.is_local(first, &h.data_centre);
+            // Remote hosts own the cells of data centres without hosts.
+            let unserved = !self.hosts.values().any(local);
             let size = layout.share(&self.workers, first);
-            nobody || self.carry(size, count as usize, spare, home)
+            unserved || self.can_fit(size, count as usize, spare, local)
         })
     }
 
-    /// Whether some of the hosts can own so many cells of a size.
-    fn carry(
+    /// Whether the selected hosts can own this number of cells of this size.
+    fn can_fit(
         &self,
         size: usize,
         cells: usize,
         spare: bool,
-        of: impl Fn(&Announced) -> bool,
+        among: impl Fn(&Announcement) -> bool,
     ) -> bool {
-        let each = self.hosts.values().filter(|h| of(h)).map(|h| h.carries / size.max(1));
-        let (sum, most) = each.fold((0, 0), |(sum, most), n| (sum + n, n.max(most)));
-        sum - if spare { most } else { 0 } >= cells
+        let cells_each =
+            self.hosts.values().filter(|h| among(h)).map(|h| h.max_workers / size.max(1));
+        let (sum, max) = cells_each.fold((0, 0), |(sum, max), n| (sum + n, n.max(max)));
+        sum - if spare { max } else { 0 } >= cells
     }
 }
--- a/crates/front/src/hedge.rs
+++ b/crates/front/src/hedge.rs
@@ -1,9 +1,7 @@
-//! Repeats a call while earlier tries still wait, so that neither a lost answer nor a slow one holds
-//! it up.
+//! Repeats a call while earlier attempts still wait, so that neither a lost nor a slow answer delays it.
 //!
-//! A try that is given up may have been carried out all the same, and its answer would have told so:
-//! slow answers are waited for, on their own connections, beside a new try. The call must be one
-//! that does no harm when it is carried out twice.
+//! An attempt without an answer may still have been carried out, so it goes on waiting on its own connection beside a
+//! new one. The call must be idempotent.
 
 use std::pin::pin;
 use std::time::Duration;
@@ -15,92 +13,91 @@
 
 use myrtle_adapter::StoreError;
 
-use crate::patience::Patience;
+use crate::answer_time::AnswerTime;
 
-/// Tries that wait at the same time: a store that is slow must not get many times its usual calls.
-const AT_ONCE: usize = 3;
+/// The largest number of attempts at a time: a slow store must not get many times its usual calls.
+const MAX_ATTEMPTS: usize = 3;
 
-/// The pause after a try that was refused.
-const PAUSE: Duration = Duration::from_millis(40);
+/// The pause after a failed attempt.
+const RETRY_PAUSE: Duration = Duration::from_millis(40);
 
-/// How a call came out.
+/// The outcome of a call.
 #[derive(Debug)]
 pub enum Outcome<T> {
     /// It was carried out.
     Done(T),
-    /// It surely was not carried out.
+    /// It was certainly not carried out.
     Refused(StoreError),
-    /// It may have been carried out, or may still be.
+    /// It may have been carried out, now or later.
     Unknown,
 }
 
-/// What a try came to, for the caller to note.
+/// The result of one attempt, for the caller's records.
 #[derive(Debug)]
-pub enum Seen<'a> {
+pub enum Attempt<'a> {
     /// A good answer.
     Answer,
     /// A failure.
     Failure(&'a StoreError),
     /// No answer so far.
-    Silence,
+    NoAnswer,
 }
 
-/// Tries a call until it is carried out, is refused beyond doubt, or `end` has come.
+/// Repeats a call until it is carried out, is certainly refused, or `end` is reached.
 ///
-/// `call` is given the time that is left. A failure for which `last` holds ends the call at once.
+/// `call` gets the remaining time. A failure for which `is_final` holds ends the call at once.
 pub async fn hedged<T, F>(
-    patience: &mut Patience,
+    answer_time: &mut AnswerTime,
     end: Instant,
     call: impl Fn(Duration) -> F,
-    last: impl Fn(&StoreError) -> bool,
-    note: impl Fn(Seen<'_>),
+    is_final: impl Fn(&StoreError) -> bool,
+    note: impl Fn(Attempt<'_>),
 ) -> Outcome<T>
 where
     F: Future<Output = Result<T, StoreError>>,
 {
-    let mut tries = FuturesUnordered::new();
-    let mut doubt = false;
+    let mut attempts = FuturesUnordered::new();
+    let mut maybe_done = false;
     loop {
         let left = end.saturating_duration_since(Instant::now());
         if left.is_zero() {
             return Outcome::Unknown;
         }
-        if tries.len() < AT_ONCE {
+        if attempts.len() < MAX_ATTEMPTS {
             let (began, answer) = (Instant::now(), call(left));
-            tries.push(async move { (began, answer.await) });
+            attempts.push(async move { (began, answer.await) });
         }
-        let limit = patience.limit().min(left);
-        let (began, answer) = match timeout(limit, tries.next()).await {
+        let limit = answer_time.limit().min(left);
+        let (began, answer) = match timeout(limit, attempts.next()).await {
             Ok(Some(first)) => first,
-            // The others go on waiting beside a new try.
+            // The others go on waiting beside a new attempt.
             Ok(None) | Err(_) => {
-                patience.missed();
-                note(Seen::Silence);
+                answer_time.timed_out();
+                note(Attempt::NoAnswer);
                 continue;
             }
         };
         match answer {
             Ok(done) => {
-                patience.answered(began.elapsed());
-                note(Seen::Answer);
+                answer_time.answered(began.elapsed());
+                note(Attempt::Answer);
                 return Outcome::Done(done);
             }
-            Err(e) if last(&e) => return Outcome::Refused(e),
+            Err(e) if is_final(&e) => return Outcome::Refused(e),
             Err(e) => {
-                note(Seen::Failure(&e));
-                doubt |= e.unknown();
-                if !doubt && tries.is_empty() {
+                note(Attempt::Failure(&e));
+                maybe_done |= e.unknown();
+                if !maybe_done && attempts.is_empty() {
                     return Outcome::Refused(e);
                 }
-                sleep(PAUSE.min(end.saturating_duration_since(Instant::now()))).await;
+                sleep(RETRY_PAUSE.min(end.saturating_duration_since(Instant::now()))).await;
             }
         }
     }
 }
 
-/// Makes a call again beside the first one if that has no answer after a while; the first answer
-/// counts.
-pub async fn beside<T, F>(after: Duration, call: impl Fn() -> F) -> Option<T>
+/// Makes a call, and a second one beside it if the first has no answer after some time; returns the first answer.
+pub async fn with_backup<T, F>(after: Duration, call: impl Fn() -> F) -> Option<T>
 where
     F: Future<Output = Option<T>>,
 {
@@ -111,8 +108,8 @@
     let second = pin!(call());
     match select(first, second).await {
         Either::Left((Some(answer), _)) | Either::Right((Some(answer), _)) => Some(answer),
-        Either::Left((None, rest)) => rest.await,
-        // It has met somebody who is gone, and so has the first.
+        Either::Left((None, second)) => second.await,
+        // The second call found the peer gone, which holds for the first one as well.
         Either::Right((None, _)) => None,
     }
 }
--- a/crates/front/src/host.rs
+++ b/crates/front/src/host.rs
@@ -1,4 +1,4 @@
-//! What all parts of a front host share.
+//! The state that all tasks of a front host share.
 
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 use std::net::SocketAddr;
@@ -12,73 +12,73 @@
 use myrtle_meter::Meter;
 
 use crate::clock::now;
-use crate::emptied::Emptied;
-use crate::hedge::Seen;
+use crate::evacuated::Evacuated;
+use crate::hedge::Attempt;
 use crate::intake::Intake;
 use crate::layout::Layout;
 use crate::owned::Owned;
 use crate::ownership::Directory;
 use crate::ownership::owners::Owners;
 use crate::settings::Settings;
-use crate::strange::Strange;
+use crate::unknown_keys::UnknownKeys;
 
-/// How long the store may give no good answer before it counts as lost, in milliseconds.
+/// The least time without a good answer before the store counts as lost, in milliseconds.
 const LOST_AFTER: u64 = 500;
 
-/// For how long calls have to fail before it does: one lost answer is no lost store, and a host that has nothing to
-/// ask hears of it once a second.
-const FAILING: u64 = 200;
+/// How long calls have to fail as well, in milliseconds: one lost answer is not a lost store, and an idle host calls it
+/// only once a second.
+const MIN_FAILING: u64 = 200;
 
-/// How long the store may give no good answer before clients should go elsewhere, in milliseconds: a read of the
-/// operator's records that waits for news, and what a slow store adds.
+/// The longest time without a good answer while the host is ready for clients, in milliseconds: a waiting read of the
+/// operator's records plus the delay of a slow store.
 const READY_WITHIN: u64 = 1_500;
 
-/// A front host. Locks are taken one at a time and never held while waiting.
+/// A front host; locks are taken one at a time and never held across an await.
 #[derive(Debug)]
 pub struct Host {
-    /// The settings at the start.
+    /// The settings read at the start.
     pub settings: Settings,
     /// The platform's store.
     pub store: Store,
-    /// The service that gives out tickets, if there is one.
+    /// The ticket service, if there is one.
     pub tickets: Option<Tickets>,
-    /// The service that keeps up machines, if there is one.
+    /// The machine service, if there is one.
     pub machines: Option<Machines>,
-    /// Counts and latencies.
+    /// The metrics.
     pub meter: Meter,
-    /// Who owns which cell, as last heard or asked.
+    /// The cached owners of cells.
     pub owners: Owners,
-    /// Who owns which cell, as the owners have written.
+    /// The announced owners of cells.
     pub directory: Directory,
-    /// Records of the operator's that nothing here knows.
-    pub strange: Strange,
-    /// Which data centres the operator empties.
-    pub emptied: Emptied,
+    /// The keys of operator records of unknown kinds.
+    pub unknown_keys: UnknownKeys,
+    /// The evacuated data centres.
+    pub evacuated: Evacuated,
     waves: Mutex<BTreeMap<u64, WaveOrder>>,
     configuration: Mutex<Option<Arc<Configuration>>>,
     owned: Mutex<HashMap<u32, Arc<Owned>>>,
-    reached: AtomicU64,
-    /// Since when calls fail; 0 if the last one did not.
-    failing: AtomicU64,
+    reached_at: AtomicU64,
+    /// When the present failures began; 0 if the last call succeeded.
+    failing_since: AtomicU64,
     lost: AtomicBool,
     incarnation: u32,
     intakes: Mutex<HashMap<u32, Arc<Intake>>>,
-    asked: Mutex<BTreeSet<u32>>,
+    releases: Mutex<BTreeSet<u32>>,
     stopping: AtomicBool,
-    /// What is still to be told to other owners before the host ends.
-    pub handing_on: TaskTracker,
+    /// Calls to successors that should finish before the process ends.
+    pub successor_calls: TaskTracker,
     layout: OnceLock<Layout>,
 }
 
 impl Host {
-    /// A host that knows nothing yet.
+    /// Creates a host without cells or a configuration.
     pub fn new(settings: Settings) -> Self {
         Self {
             store: Store::new(settings.store),
             owners: Owners::new(),
             directory: Directory::default(),
-            emptied: Emptied::default(),
-            strange: Strange::default(),
+            evacuated: Evacuated::default(),
+            unknown_keys: UnknownKeys::default(),
             tickets: settings.tickets.map(Tickets::new),
             machines: settings.machines.map(Machines::new),
             settings,
@@ -86,14 +86,14 @@
             waves: Mutex::default(),
             configuration: Mutex::default(),
             owned: Mutex::default(),
-            reached: AtomicU64::new(0),
-            failing: AtomicU64::new(0),
+            reached_at: AtomicU64::new(0),
+            failing_since: AtomicU64::new(0),
             lost: AtomicBool::new(false),
             incarnation: rand::random(),
             intakes: Mutex::default(),
-            asked: Mutex::default(),
+            releases: Mutex::default(),
             stopping: AtomicBool::new(false),
-            handing_on: TaskTracker::new(),
+            successor_calls: TaskTracker::new(),
             layout: OnceLock::new(),
         }
     }
@@ -103,24 +103,24 @@
         self.configuration.lock().expect("no holder panics").clone()
     }
 
-    /// Puts a configuration into force unless a later one is.
+    /// Applies a configuration unless a later one is in force.
     pub fn configure(&self, configuration: Configuration) {
-        let mut held = self.configuration.lock().expect("no holder panics");
-        let old = held.as_ref().map_or(0, |c| c.version);
+        let mut current = self.configuration.lock().expect("no holder panics");
+        let old = current.as_ref().map_or(0, |c| c.version);
         if configuration.version <= old {
             return;
         }
         let (version, queues) = (configuration.version, configuration.queues.len());
-        *held = Some(Arc::new(configuration));
+        *current = Some(Arc::new(configuration));
         info!("event=configuration version={version} before={old} queues={queues}");
     }
 
-    /// Notes a wave of upkeep that the operator asks for.
+    /// Adds a maintenance wave that the operator requests.
     pub fn add_wave(&self, wave: WaveOrder) {
         self.waves.lock().expect("no holder panics").insert(wave.number, wave);
     }
 
-    /// The waves of upkeep that the operator asks for.
+    /// The maintenance waves that the operator requests.
     pub fn waves(&self) -> Vec<WaveOrder> {
         self.waves.lock().expect("no holder panics").values().cloned().collect()
     }
@@ -140,128 +140,126 @@
         self.owned.lock().expect("no holder panics").len()
     }
 
-    /// Notes that this host owns a cell.
+    /// Adds a cell that this host owns.
     pub fn own(&self, cell: u32, owned: Arc<Owned>) {
         self.owned.lock().expect("no holder panics").insert(cell, owned);
     }
 
-    /// Notes that this host no longer owns a cell.
+    /// Removes a cell that this host no longer owns.
     pub fn disown(&self, cell: u32) -> Option<Arc<Owned>> {
         self.owned.lock().expect("no holder panics").remove(&cell)
     }
 
-    /// Notes an answer of the store.
+    /// Records a good answer of the store.
     pub fn store_reached(&self) {
-        self.reached.store(now(), Ordering::Relaxed);
-        self.failing.store(0, Ordering::Relaxed);
+        self.reached_at.store(now(), Ordering::Relaxed);
+        self.failing_since.store(0, Ordering::Relaxed);
         if self.lost.swap(false, Ordering::Relaxed) {
             info!("event=store-regained");
         }
     }
 
-    /// Notes that the store gave no good answer.
-    pub fn store_missed(&self, why: &impl std::fmt::Display) {
-        let since = match self.failing.load(Ordering::Relaxed) {
+    /// Records a failed call to the store.
+    pub fn store_failed(&self, why: &impl std::fmt::Display) {
+        let since = match self.failing_since.load(Ordering::Relaxed) {
             0 => now().max(1),
             since => since,
         };
-        self.failing.store(since, Ordering::Relaxed);
-        let lost = self.store_age() >= LOST_AFTER && now() >= since + FAILING;
+        self.failing_since.store(since, Ordering::Relaxed);
+        let lost = self.store_age() >= LOST_AFTER && now() >= since + MIN_FAILING;
         if lost && !self.lost.swap(true, Ordering::Relaxed) {
             warn!("event=store-lost reason=\"{why}\" age_ms={}", self.store_age());
         }
     }
 
-    /// Notes that the store gave no good answer to a question that it was given time for.
-    pub fn store_silent(&self, why: &impl std::fmt::Display) {
-        self.failing.store(now().saturating_sub(FAILING).max(1), Ordering::Relaxed);
-        self.store_missed(why);
+    /// Records a failed probe of the store, which counts as failing for long enough.
+    pub fn store_timed_out(&self, why: &impl std::fmt::Display) {
+        self.failing_since.store(now().saturating_sub(MIN_FAILING).max(1), Ordering::Relaxed);
+        self.store_failed(why);
     }
 
-    /// Notes what a try of a call to the store came to.
-    pub fn note(&self, seen: Seen<'_>) {
-        match seen {
-            Seen::Answer => self.store_reached(),
-            Seen::Failure(e) => self.store_missed(e),
-            Seen::Silence => self.store_missed(&"no answer in time"),
+    /// Records the result of an attempt to call the store.
+    pub fn note(&self, attempt: Attempt<'_>) {
+        match attempt {
+            Attempt::Answer => self.store_reached(),
+            Attempt::Failure(e) => self.store_failed(e),
+            Attempt::NoAnswer => self.store_failed(&"no answer in time"),
         }
     }
 
     /// Milliseconds since the store last answered.
     pub fn store_age(&self) -> u64 {
-        now().saturating_sub(self.reached.load(Ordering::Relaxed))
+        now().saturating_sub(self.reached_at.load(Ordering::Relaxed))
     }
 
-    /// Whether a configuration is known and the store was reached lately.
-    pub fn in_touch(&self) -> bool {
+    /// Whether the store answered within the time that the settings allow.
+    pub fn in_contact(&self) -> bool {
         self.store_age() <= self.settings.bounds.contact
     }
 
-    /// Whether new connections should come here.
+    /// Whether the host is ready for new connections.
     pub fn ready(&self) -> bool {
         !self.stopping()
             && self.configuration().is_some()
             && self.layout().is_some()
             && self.store_age() <= READY_WITHIN
-            && !self.store_gone()
+            && !self.store_lost()
     }
 
-    /// Whether the store has given no good answer for a while; other parts go on asking it.
-    pub fn store_gone(&self) -> bool {
+    /// Whether the store counts as lost; calls to it continue.
+    pub fn store_lost(&self) -> bool {
         self.lost.load(Ordering::Relaxed)
     }
 
-    /// Which cells there are, once that is known.
+    /// The layout of cells, once it is known.
     pub fn layout(&self) -> Option<&Layout> {
         self.layout.get()
     }
 
-    /// Notes which cells there are, for good.
-    pub fn lay_out(&self, layout: Layout) -> &Layout {
+    /// Sets the layout of cells, which then stays.
+    pub fn set_layout(&self, layout: Layout) -> &Layout {
         self.layout.get_or_init(|| layout)
     }
 
-    /// Whether the host has been told to stop.
+    /// Whether the process is stopping.
     pub fn stopping(&self) -> bool {
         self.stopping.load(Ordering::Relaxed)
     }
 
-    /// Notes that the host has been told to stop.
+    /// Marks the process as stopping.
     pub fn stop(&self) {
         self.stopping.store(true, Ordering::Relaxed);
     }
 
-    /// Where this host answers peers.
+    /// The address of this host's peer service.
     pub fn peer(&self) -> SocketAddr {
         self.settings.peer()
     }
 
-    /// The name under which this host joins groups; it tells others where to find it and how large
-    /// a cell it can own.
+    /// The member name of this host in groups; it contains the peer address and the capacity in workers.
     ///
-    /// A host that was started again is another member: it must not go on under the fencing token
-    /// of its last life.
+    /// A restarted host is another member, as it must not continue under the fencing token of its last incarnation.
     pub fn member(&self) -> String {
-        let (name, carries) = (&self.settings.name, self.settings.carries());
-        format!("{name}-{:08x}+{carries}@{}", self.incarnation, self.peer())
+        let (name, max_workers) = (&self.settings.name, self.settings.max_workers());
+        format!("{name}-{:08x}+{max_workers}@{}", self.incarnation, self.peer())
     }
 
-    /// Whether this host can own cells of the size that they have.
-    pub fn strong(&self) -> bool {
-        self.layout().is_none_or(|layout| layout.size() <= self.settings.carries())
+    /// Whether this host has the capacity to own the largest cell.
+    pub fn has_capacity(&self) -> bool {
+        self.layout().is_none_or(|layout| layout.max_size() <= self.settings.max_workers())
     }
 
-    /// Notes that a stronger host asks for a cell.
-    pub fn ask_for(&self, cell: u32) {
-        self.asked.lock().expect("no holder panics").insert(cell);
+    /// Records that a host with the capacity asks for a cell.
+    pub fn ask_release(&self, cell: u32) {
+        self.releases.lock().expect("no holder panics").insert(cell);
     }
 
-    /// Whether a stronger host has asked for a cell since the last look.
-    pub fn take_asked(&self, cell: u32) -> bool {
-        self.asked.lock().expect("no holder panics").remove(&cell)
+    /// Whether such a host has asked for a cell since the last call.
+    pub fn release_asked(&self, cell: u32) -> bool {
+        self.releases.lock().expect("no holder panics").remove(&cell)
     }
 
-    /// The jobs of a cell that wait to be written.
+    /// The queue of accepted jobs of a cell.
     pub fn intake(&self, cell: u32) -> Arc<Intake> {
         self.intakes.lock().expect("no holder panics").entry(cell).or_default().clone()
     }
--- a/crates/front/src/intake.rs
+++ b/crates/front/src/intake.rs
@@ -1,7 +1,7 @@
 //! Writes accepted jobs to the log, many in one call.
 //!
-//! A host has one call a cell under way: while the store is slow, its partitions take their appends
-//! in turn, and each call more would make all of them wait.
+//! A host has one call per cell in progress: a partition takes its appends one after another, so while the store is
+//! slow each further call would delay all others.
 
 use std::net::SocketAddr;
 use std::pin::pin;
@@ -18,34 +18,33 @@
 use myrtle_job::JobId;
 use myrtle_peer::{FrontPeerClient, Passed};
 
+use crate::answer_time::AnswerTime;
+use crate::append_time::AppendTime;
 use crate::ask::left;
-use crate::flush::LARGEST;
+use crate::flush::MAX_APPEND;
 use crate::hedge::{Outcome, hedged};
 use crate::host::Host;
 use crate::names::JOBS;
-use crate::pace::Pace;
-use crate::patience::Patience;
 
-/// How long a job waits for the call before its own; then it is refused, so that its client can
-/// try elsewhere. A quarter of the shortest objectives is 300 ms; a slow store needs more.
-const QUEUE: Duration = Duration::from_millis(600);
+/// How long a job waits for the previous call before it is refused, so that its client can try elsewhere. A quarter of
+/// the shortest objectives is 300 ms; a slow store needs more.
+const QUEUE_LIMIT: Duration = Duration::from_millis(600);
 
-/// The time between two looks for jobs that have waited too long.
-const LOOK: Duration = Duration::from_millis(100);
+/// The time between two checks for jobs that have waited too long.
+const PURGE_EVERY: Duration = Duration::from_millis(100);
 
-/// How long the owner of a cell is waited for before it is asked whether it still writes, and before this host
-/// writes a job itself if it does not: an owner that lives answers within 30 ms, and longer only while the
-/// store is slow.
-const PASS: Duration = Duration::from_millis(150);
+/// The wait for the cell's owner before it is asked whether it still writes, and before this host writes the job
+/// itself: a live owner answers within 30 ms, and later only while the store is slow.
+const OWNER_LIMIT: Duration = Duration::from_millis(150);
 
-/// How old the store's last answer may be for a job to be sent without a question before, in milliseconds: owners hear
-/// from it more often.
-const FRESH: u64 = 500;
+/// The largest age of the store's last answer at which a job is sent without a probe, in milliseconds; owners get
+/// answers more often.
+const RECENT_MS: u64 = 500;
 
-/// How long the store may take to answer that question: many times a usual answer, and what a slow store needs.
-const PROBE: Duration = Duration::from_millis(400);
+/// The time limit for a probe: many times a usual answer, and what a slow store needs.
+const PROBE_LIMIT: Duration = Duration::from_millis(400);
 
-/// A job that waits to be written.
+/// A job waiting to be written.
 #[derive(Debug)]
 struct Waiting {
     job: JobId,
@@ -55,80 +54,79 @@
     done: oneshot::Sender<Passed>,
 }
 
-/// The jobs of one cell that wait to be written.
+/// The queue of jobs of one cell waiting to be written.
 #[derive(Debug, Default)]
 pub struct Intake {
     queue: Mutex<Vec<Waiting>>,
-    pace: Mutex<Pace>,
+    append_time: Mutex<AppendTime>,
     work: Notify,
 }
 
 impl Intake {
-    /// Puts a job into the queue and waits for its fate; refuses it at once if its time will not do.
-    async fn put(&self, job: JobId, record: Vec<u8>, limit: Duration) -> Passed {
-        let (done, fate) = oneshot::channel();
+    /// Enqueues a job and waits for the outcome; refuses it at once if its time limit is too short.
+    async fn enqueue(&self, job: JobId, record: Vec<u8>, limit: Duration) -> Passed {
+        let (done, answer) = oneshot::channel();
         let since = Instant::now();
-        if limit < self.pace.lock().expect("no holder panics").ahead(since) {
+        if limit < self.append_time.lock().expect("no holder panics").estimate(since) {
             return Passed::Refused;
         }
         let waiting = Waiting { job, record, since, end: since + limit, done };
         self.queue.lock().expect("no holder panics").push(waiting);
         self.work.notify_one();
-        match timeout(limit, fate).await {
+        match timeout(limit, answer).await {
             Ok(Ok(passed)) => passed,
-            // What still waits was not sent; else the call may be under way.
-            _ if self.leave(job, since) => Passed::Refused,
+            // A job still in the queue was not sent; otherwise the call may be in progress.
+            _ if self.withdraw(job, since) => Passed::Refused,
             _ => Passed::Unknown,
         }
     }
 
-    /// Takes a job off the queue; false if it waits there no more.
-    fn leave(&self, job: JobId, since: Instant) -> bool {
+    /// Removes a job from the queue; false if it is no longer there.
+    fn withdraw(&self, job: JobId, since: Instant) -> bool {
         let mut queue = self.queue.lock().expect("no holder panics");
         let at = queue.iter().position(|w| w.job == job && w.since == since);
         at.map(|at| queue.remove(at)).is_some()
     }
 
-    /// Notes that a call begins.
+    /// Records the start of a call.
     fn begin(&self) {
-        self.pace.lock().expect("no holder panics").began = Some(Instant::now());
+        self.append_time.lock().expect("no holder panics").began = Some(Instant::now());
     }
 
-    /// Notes that a call has ended, and what calls take by now.
+    /// Records the end of a call and the usual time of calls.
     fn finish(&self, usual: Duration) {
-        *self.pace.lock().expect("no holder panics") = Pace { usual, began: None };
+        *self.append_time.lock().expect("no holder panics") = AppendTime { usual, began: None };
     }
 
-    /// Takes as many jobs off the queue as one append holds.
+    /// Removes and returns as many jobs as fit in one append.
     fn take(&self) -> Vec<Waiting> {
         let mut queue = self.queue.lock().expect("no holder panics");
         let mut size = 0;
         let fit = queue.iter().take_while(|w| {
             size += w.record.len() + 32;
-            size <= LARGEST
+            size <= MAX_APPEND
         });
         let count = fit.count().max(1).min(queue.len());
         queue.drain(..count).collect()
     }
 
-    /// Refuses jobs that have waited too long, or all while the store is out of reach; they surely were not
-    /// sent.
+    /// Refuses jobs that have waited too long, or all while the store is lost; none of them was sent.
     fn purge(&self, lost: bool) {
         let mut queue = self.queue.lock().expect("no holder panics");
         let (old, rest) =
-            queue.drain(..).partition(|w: &Waiting| lost || w.since.elapsed() > QUEUE);
+            queue.drain(..).partition(|w: &Waiting| lost || w.since.elapsed() > QUEUE_LIMIT);
         *queue = rest;
         drop(queue);
-        settle(old, Passed::Refused);
+        reply_all(old, Passed::Refused);
     }
 }
 
-/// Writes the jobs of one cell, for good.
+/// Writes the jobs of one cell until the process ends.
 pub async fn run(host: Arc<Host>, cell: u32) {
     let intake = host.intake(cell);
-    let mut patience = Patience::new();
+    let mut answer_time = AnswerTime::new();
     loop {
-        intake.purge(host.store_gone());
+        intake.purge(host.store_lost());
         let batch = intake.take();
         if batch.is_empty() {
             intake.work.notified().await;
@@ -136,62 +134,68 @@
         }
         intake.begin();
         let passed = {
-            let write = write(&host, cell, &batch, &mut patience);
+            let write = write(&host, cell, &batch, &mut answer_time);
             tokio::pin!(write);
-            let mut looks = interval(LOOK);
+            let mut ticks = interval(PURGE_EVERY);
             loop {
                 tokio::select! {
                     passed = &mut write => break passed,
-                    _ = looks.tick() => {}
+                    _ = ticks.tick() => {}
                 }
-                intake.purge(host.store_gone());
-                // Its clients have time to try elsewhere.
-                if host.store_gone() {
+                intake.purge(host.store_lost());
+                // Ending the call now leaves its clients time to try elsewhere.
+                if host.store_lost() {
                     break Passed::Unknown;
                 }
             }
         };
-        intake.finish(patience.usual());
-        settle(batch, passed);
+        intake.finish(answer_time.usual());
+        reply_all(batch, passed);
     }
 }
 
-/// Tells those who wait what came of their jobs.
-fn settle(batch: Vec<Waiting>, passed: Passed) {
+/// Sends the outcome to all that wait for their jobs.
+fn reply_all(batch: Vec<Waiting>, passed: Passed) {
     for waiting in batch {
-        // Its client may have gone.
+        // The receiver may be gone.
         let _ = waiting.done.send(passed);
     }
 }
 
-/// Appends a batch until the store has it; a refusal is surely one, whatever went before.
-async fn write(host: &Host, cell: u32, batch: &[Waiting], patience: &mut Patience) -> Passed {
+/// Appends a batch, with repeats; `Refused` means that no attempt was carried out.
+async fn write(host: &Host, cell: u32, batch: &[Waiting], answer_time: &mut AnswerTime) -> Passed {
     let mut body = BytesMut::new();
     for waiting in batch {
         frame_keyed(&mut body, &waiting.job.to_string(), &waiting.record);
     }
     let body: Bytes = body.freeze();
     let end = batch.iter().map(|w| w.end).max().unwrap_or_else(Instant::now);
-    // A repeat writes the same records under the same keys, so it does no harm.
+    // A repeat writes the same records under the same keys, so it is harmless.
     let append = |left| host.store.append(JOBS, cell, None, body.clone(), left);
-    match hedged(patience, end, append, |_| false, |seen| host.note(seen)).await {
+    match hedged(answer_time, end, append, |_| false, |seen| host.note(seen)).await {
         Outcome::Done(_) => Passed::Kept,
         Outcome::Refused(_) => Passed::Refused,
         Outcome::Unknown => Passed::Unknown,
     }
 }
 
-/// Writes a job here, without asking anybody else.
-async fn keep(host: &Host, cell: u32, job: JobId, record: Vec<u8>, limit: Duration) -> Passed {
-    host.intake(cell).put(job, record, limit).await
+/// Writes a job by this host's own queue.
+async fn write_queued(
+    host: &Host,
+    cell: u32,
+    job: JobId,
+    record: Vec<u8>,
+    limit: Duration,
+) -> Passed {
+    host.intake(cell).enqueue(job, record, limit).await
 }
 
 /// Accepts a job: the cell's owner writes it, or this host if the owner does not answer soon.
 ///
-/// A partition takes its appends in turn, so while the store is slow 29 hosts that write by
-/// themselves wait for each other.
+/// A partition takes its appends one after another, so while the store is slow, 29 hosts that write themselves would
+/// wait for each other.
 ///
-/// A record that both write is the same under the same key, so it does no harm.
+/// If both write the record, it is the same under the same key, which is harmless.
 pub async fn accept(
     host: &Host,
     cell: u32,
@@ -203,42 +207,42 @@
         return write_here(host, cell, job, record, limit).await;
     };
     let end = Instant::now() + limit;
-    // What is sent and not answered may have been taken, and its client can't try elsewhere; a question does no harm.
-    if !writes(host, cell, at).await {
-        host.owners.doubt(cell);
+    // A job sent without an answer may have been accepted, so its client can't try elsewhere; a question has no such
+    // risk.
+    if !owner_writes(host, cell, at).await {
+        host.owners.suspect(cell);
         return write_here(host, cell, job, record, left(end)).await;
     }
-    let mut by_owner = pin!(pass_on(host, cell, at, job, record.clone(), left(end)));
-    let early = loop {
-        match timeout(PASS, &mut by_owner).await {
+    let mut by_owner = pin!(send_to_owner(host, cell, at, job, record.clone(), left(end)));
+    let owner_reply = loop {
+        match timeout(OWNER_LIMIT, &mut by_owner).await {
             Ok(passed) => break Some(passed),
-            Err(_) if writes(host, cell, at).await => {}
+            Err(_) if owner_writes(host, cell, at).await => {}
             Err(_) => break None,
         }
     };
-    if early == Some(Passed::Kept) {
+    if owner_reply == Some(Passed::Kept) {
         return Passed::Kept;
     }
     let here = write_here(host, cell, job, record, left(end));
-    match early {
+    match owner_reply {
         Some(passed) => passed.or(here.await),
-        // The owner does not say that it writes, so it is not waited for much longer than this host needs.
-        None => either(by_owner, pin!(here)).await,
+        // The owner did not confirm that it writes, so the wait for it ends soon after this host's own write.
+        None => first_kept(by_owner, pin!(here)).await,
     }
 }
 
-/// Whether the owner of a cell lives and goes on writing.
-async fn writes(host: &Host, cell: u32, at: SocketAddr) -> bool {
+/// Whether the owner of a cell answers that it writes.
+async fn owner_writes(host: &Host, cell: u32, at: SocketAddr) -> bool {
     let ask = |c: FrontPeerClient, context| async move { c.writes(context, cell).await };
-    // A connection to a host that is cut off takes longer than any call.
-    timeout(PASS, host.owners.call(at, PASS, ask)).await == Ok(Some(true))
+    // Connecting to a host that is cut off takes longer than any call.
+    timeout(OWNER_LIMIT, host.owners.call(at, OWNER_LIMIT, ask)).await == Ok(Some(true))
 }
 
-/// Writes a job here; while the store is out of reach nothing is sent, so that the refusal is sure
-/// and comes at once.
+/// Writes a job from this host; while the store is lost nothing is sent, so that the refusal is certain and immediate.
 ///
-/// Load pattern: a data centre is cut off, and each of its hosts is handed a job before it has noticed. A store that
-/// has not answered lately is asked something harmless first.
+/// Load pattern: a data centre is cut off, and each of its hosts gets a job before it has noticed. So a store without a
+/// recent answer is probed first.
 pub async fn write_here(
     host: &Host,
     cell: u32,
@@ -247,29 +251,29 @@
     limit: Duration,
 ) -> Passed {
     let end = Instant::now() + limit;
-    if host.store_gone() || host.store_age() > FRESH && !answers(host, cell).await {
+    if host.store_lost() || host.store_age() > RECENT_MS && !probe_store(host, cell).await {
         return Passed::Refused;
     }
-    keep(host, cell, job, record, left(end)).await
+    write_queued(host, cell, job, record, left(end)).await
 }
 
-/// Whether the store answers this host by now.
-async fn answers(host: &Host, cell: u32) -> bool {
-    // An append of nothing goes the way of the job, whenever it arrives.
-    match host.store.append(JOBS, cell, None, Bytes::new(), PROBE).await {
+/// Whether the store answers a probe.
+async fn probe_store(host: &Host, cell: u32) -> bool {
+    // An empty append takes the same path as the job and changes nothing.
+    match host.store.append(JOBS, cell, None, Bytes::new(), PROBE_LIMIT).await {
         Ok(_) => {
             host.store_reached();
             true
         }
         Err(e) => {
-            host.store_silent(&e);
+            host.store_timed_out(&e);
             false
         }
     }
 }
 
-/// Lets the cell's owner write a job.
-async fn pass_on(
+/// Sends a job to the cell's owner, which writes it.
+async fn send_to_owner(
     host: &Host,
     cell: u32,
     at: SocketAddr,
@@ -278,7 +282,7 @@
     limit: Duration,
 ) -> Passed {
     if !host.owners.reach(at).await {
-        host.owners.doubt(cell);
+        host.owners.suspect(cell);
         return Passed::Refused;
     }
     let call =
@@ -286,16 +290,16 @@
     match host.owners.call(at, limit, call).await {
         Some(passed) => passed,
         None => {
-            host.owners.doubt(cell);
+            host.owners.suspect(cell);
             warn!("event=job-in-doubt job={job} cell={cell} peer={at}");
             Passed::Unknown
         }
     }
 }
 
-/// What an owner that may be gone and this host came to with a job, as soon as that is sure, or the owner has been
-/// silent for a while beyond.
-async fn either(
+/// Combines the outcomes of this host and of an owner that may be gone, as soon as one is certain or the owner has not
+/// answered for some time longer.
+async fn first_kept(
     by_owner: impl Future<Output = Passed> + Unpin,
     here: impl Future<Output = Passed> + Unpin,
 ) -> Passed {
@@ -303,7 +307,7 @@
         Either::Left((Passed::Kept, _)) | Either::Right((Passed::Kept, _)) => Passed::Kept,
         Either::Left((first, here)) => first.or(here.await),
         Either::Right((first, by_owner)) => {
-            first.or(timeout(PASS, by_owner).await.unwrap_or(Passed::Unknown))
+            first.or(timeout(OWNER_LIMIT, by_owner).await.unwrap_or(Passed::Unknown))
         }
     }
 }
--- a/crates/front/src/layout.rs
+++ b/crates/front/src/layout.rs
@@ -1,4 +1,4 @@
-//! Which cells there are.
+//! The division of a deployment's workers into cells.
 
 use std::cmp::Reverse;
 use std::collections::BTreeMap;
@@ -10,76 +10,76 @@
 
 use crate::settings::Cells;
 
-/// The cells of a deployment; no data centre named means one cell for all.
+/// The cells of a deployment; without data centres there is one cell for all workers.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Layout {
     centres: BTreeMap<String, Span>,
-    /// The workers of each cell when that was decided.
+    /// The number of workers of each cell when the layout was written.
     sizes: Vec<usize>,
-    /// The hosts of each data centre when that was decided.
+    /// The number of hosts of each data centre when the layout was written.
     hosts: BTreeMap<String, usize>,
 }
 
-/// The cells of a data centre, by their numbers; several data centres may share one.
+/// The range of cell numbers of a data centre; several data centres may share one cell.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Span {
-    /// The first of them.
+    /// The first cell.
     pub first: u32,
-    /// How many there are.
+    /// The number of cells.
     pub count: u32,
 }
 
-/// How cells were written before hosts were counted.
+/// The stored form without numbers of hosts.
 #[derive(Debug, Deserialize)]
-struct Uncounted {
+struct WithoutHosts {
     centres: BTreeMap<String, Span>,
     sizes: Vec<usize>,
 }
 
-/// How cells were written before data centres could share one.
+/// The stored form without shared cells.
 #[derive(Debug, Deserialize)]
-struct Unshared {
+struct WithoutSharing {
     centres: BTreeMap<String, u32>,
     size: usize,
 }
 
 impl Layout {
-    /// The cells for so many workers in each data centre, of at most `largest` workers each where
-    /// the store has partitions for so many cells.
+    /// Divides the workers of each data centre into cells of at most `largest` workers, or of more if the store has too
+    /// few partitions.
     pub fn new(
         cells: Cells,
         workers: &BTreeMap<String, usize>,
         largest: usize,
-        parts: usize,
+        partitions: usize,
     ) -> Self {
-        let all: usize = workers.values().sum();
-        if cells == Cells::One || cells == Cells::Auto && all <= largest {
-            return Self { sizes: vec![all], ..Self::default() };
+        let total: usize = workers.values().sum();
+        if cells == Cells::One || cells == Cells::Auto && total <= largest {
+            return Self { sizes: vec![total], ..Self::default() };
         }
-        // Each cell has a partition of its own, and a topic has so many.
-        let sum = |most: usize| workers.values().map(|n| n.div_ceil(most).max(1)).sum::<usize>();
-        let most = (0..16).map(|n| largest << n).find(|&most| sum(most) <= parts);
-        let most = most.unwrap_or(usize::MAX);
-        let shared = if cells == Cells::Auto { packed(workers, most) } else { BTreeMap::new() };
-        Self::number(workers, most, &shared)
+        // Each cell needs its own partition of a topic.
+        let sum = |max: usize| workers.values().map(|n| n.div_ceil(max).max(1)).sum::<usize>();
+        let max = (0..16).map(|n| largest << n).find(|&max| sum(max) <= partitions);
+        let max = max.unwrap_or(usize::MAX);
+        let shared_groups = if cells == Cells::Auto { pack(workers, max) } else { BTreeMap::new() };
+        Self::number(workers, max, &shared_groups)
     }
 
-    /// Numbers the cells in the order of the data centres' names.
+    /// Numbers the cells in the order of the data centres' names; those in the same group share a cell.
     fn number(
         workers: &BTreeMap<String, usize>,
-        most: usize,
-        shared: &BTreeMap<&str, usize>,
+        max: usize,
+        shared_groups: &BTreeMap<&str, usize>,
     ) -> Self {
         let mut centres: BTreeMap<String, Span> = BTreeMap::new();
         let mut groups: BTreeMap<usize, Span> = BTreeMap::new();
         let mut next = 0;
         for (dc, n) in workers {
-            let group = shared.get(&**dc);
+            let group = shared_groups.get(&**dc);
             if let Some(&span) = group.and_then(|group| groups.get(group)) {
                 centres.insert(dc.clone(), span);
                 continue;
             }
-            let count = if group.is_some() { 1 } else { n.div_ceil(most).max(1) as u32 };
+            let count = if group.is_some() { 1 } else { n.div_ceil(max).max(1) as u32 };
             let span = Span { first: next, count };
             next += count;
             group.map(|&group| groups.insert(group, span));
@@ -90,90 +90,89 @@
         layout
     }
 
-    /// The same cells, decided when each data centre had so many hosts.
+    /// The same cells with the numbers of hosts of each data centre.
     pub fn with_hosts(self, hosts: BTreeMap<String, usize>) -> Self {
         Self { hosts, ..self }
     }
 
-    /// Reads a record, also one that was written before hosts were counted, before data centres could share a
-    /// cell, or before sizes were.
+    /// Reads a record in the present stored form or in one without numbers of hosts, shared cells or sizes.
     ///
     /// # Errors
     ///
-    /// The bytes are no layout in any of these forms.
+    /// Fails if the bytes are a layout in none of these forms.
     pub fn read(bytes: &[u8]) -> Result<Self, RecordError> {
-        let unshared = || decode::<Unshared>(bytes).map(|old| (old.centres, old.size));
-        let unsized_cells = || decode(bytes).map(|centres| (centres, 0));
-        let uncounted = || {
-            let old = decode::<Uncounted>(bytes);
-            old.map(|Uncounted { centres, sizes }| Self { centres, sizes, ..Self::default() })
+        let without_sharing = || decode::<WithoutSharing>(bytes).map(|old| (old.centres, old.size));
+        let without_size = || decode(bytes).map(|centres| (centres, 0));
+        let without_hosts = || {
+            let old = decode::<WithoutHosts>(bytes);
+            old.map(|WithoutHosts { centres, sizes }| Self { centres, sizes, ..Self::default() })
         };
-        decode(bytes).or_else(|_| uncounted()).or_else(|e| {
-            let old = unshared().or_else(|_| unsized_cells()).map_err(|_| e);
+        decode(bytes).or_else(|_| without_hosts()).or_else(|e| {
+            let old = without_sharing().or_else(|_| without_size()).map_err(|_| e);
             old.map(|(centres, size)| {
                 let cells = centres.values().sum::<u32>().max(1);
                 let sizes = vec![size; cells as usize];
-                Self { centres: spans(centres), sizes, ..Self::default() }
+                Self { centres: number_counts(centres), sizes, ..Self::default() }
             })
         })
     }
 
-    /// The cells of each data centre; none for one cell of all.
+    /// The cells of each data centre; empty if there is one cell for all workers.
     pub fn centres(&self) -> &BTreeMap<String, Span> {
         &self.centres
     }
 
-    /// How many of some workers belong to a cell, if those of a data centre are evenly spread.
+    /// How many of the given workers belong to a cell if each data centre spreads them evenly.
     pub fn share(&self, workers: &BTreeMap<String, usize>, cell: u32) -> usize {
-        let own = self.centres.iter().filter(|(_, span)| span.has(cell));
+        let own = self.centres.iter().filter(|(_, span)| span.contains(cell));
         own.map(|(dc, span)| workers.get(dc).map_or(0, |n| n.div_ceil(span.count as usize))).sum()
     }
 
-    /// The workers of the largest cell when the cells were decided.
-    pub fn size(&self) -> usize {
+    /// The number of workers of the largest cell when the layout was written.
+    pub fn max_size(&self) -> usize {
         self.sizes.iter().copied().max().unwrap_or(0)
     }
 
-    /// The workers of a cell when the cells were decided.
-    pub fn size_of(&self, cell: u32) -> usize {
+    /// The number of workers of a cell when the layout was written.
+    pub fn cell_size(&self, cell: u32) -> usize {
         self.sizes.get(cell as usize).copied().unwrap_or(0)
     }
 
-    /// How many hosts are at home in a cell's data centres, or are not, when the cells were decided; at least one.
-    pub fn hosts_of(&self, cell: u32, home: bool) -> usize {
-        let own = self.hosts.iter().filter(|(dc, _)| self.at_home(cell, dc) == home);
+    /// The number of hosts local or remote to a cell when the layout was written; at least one.
+    pub fn count_hosts(&self, cell: u32, local: bool) -> usize {
+        let own = self.hosts.iter().filter(|(dc, _)| self.is_local(cell, dc) == local);
         own.map(|(_, n)| n).sum::<usize>().max(1)
     }
 
-    /// How many cells there are.
+    /// The number of cells.
     pub fn count(&self) -> u32 {
         self.centres.values().map(|span| span.first + span.count).max().unwrap_or(1)
     }
 
-    /// The cell of a worker; one in a data centre that is not named belongs to the first cell.
-    pub fn cell_of(&self, data_centre: &str, address: u64) -> u32 {
+    /// The cell of a worker; the first cell if the layout does not name its data centre.
+    pub fn worker_cell(&self, data_centre: &str, address: u64) -> u32 {
         let Some(Span { first, count }) = self.centres.get(data_centre) else {
             return 0;
         };
         first + (JobId(address).spread() % u64::from(*count)) as u32
     }
 
-    /// Whether hosts of a data centre look after a cell.
-    pub fn at_home(&self, cell: u32, data_centre: &str) -> bool {
+    /// Whether a data centre is local to a cell.
+    pub fn is_local(&self, cell: u32, data_centre: &str) -> bool {
         match self.centres.get(data_centre) {
-            Some(span) => span.has(cell),
+            Some(span) => span.contains(cell),
             None => self.centres.is_empty(),
         }
     }
 
-    /// The cell of a job: the same on every host, so that a repeat meets the first; as often each cell as
-    /// it has workers.
-    pub fn home(&self, job: JobId) -> u32 {
-        let all: usize = self.sizes.iter().sum();
-        if all == 0 {
+    /// The cell of a job; it is the same on every host, so that a repeated request finds the job, and cells get jobs in
+    /// proportion to their workers.
+    pub fn job_cell(&self, job: JobId) -> u32 {
+        let total: usize = self.sizes.iter().sum();
+        if total == 0 {
             return (job.spread() % u64::from(self.count())) as u32;
         }
-        let mut at = (job.spread() % all as u64) as usize;
+        let mut at = (job.spread() % total as u64) as usize;
         for (cell, &size) in self.sizes.iter().enumerate() {
             if at < size {
                 return cell as u32;
@@ -185,14 +184,14 @@
 }
 
 impl Span {
-    /// Whether a cell is one of them.
-    pub fn has(&self, cell: u32) -> bool {
+    /// Whether the range contains a cell.
+    pub fn contains(&self, cell: u32) -> bool {
         (self.first..self.first + self.count).contains(&cell)
     }
 }
 
 impl fmt::Display for Layout {
-    /// Tells the cells of each data centre, as `a:0 b:0 c:1..=2`.
+    /// Writes the cells of each data centre, as `a:0 b:0 c:1..=2`.
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         for (at, (dc, Span { first, count })) in self.centres.iter().enumerate() {
             let space = if at > 0 { " " } else { "" };
@@ -205,14 +204,14 @@
     }
 }
 
-/// The groups of data centres that share a cell of at most `most` workers, as few and as even as can
-/// be; those with more workers are in none.
-fn packed(workers: &BTreeMap<String, usize>, most: usize) -> BTreeMap<&str, usize> {
+/// Groups the data centres that share a cell of at most `max` workers, into as few and as even groups as possible;
+/// those with more workers are in no group.
+fn pack(workers: &BTreeMap<String, usize>, max: usize) -> BTreeMap<&str, usize> {
     let mut small: Vec<(&str, usize)> =
-        workers.iter().filter(|(_, n)| **n <= most).map(|(dc, n)| (&**dc, *n)).collect();
+        workers.iter().filter(|(_, n)| **n <= max).map(|(dc, n)| (&**dc, *n)).collect();
     small.sort_by_key(|(_, n)| Reverse(*n));
     let sum: usize = small.iter().map(|(_, n)| n).sum();
-    let fewest = sum.div_ceil(most.max(1)).max(1);
+    let fewest = sum.div_ceil(max.max(1)).max(1);
     let fits = |count: usize| {
         let mut sizes = vec![0; count];
         let mut groups = BTreeMap::new();
@@ -221,13 +220,13 @@
             sizes[at] += n;
             groups.insert(dc, at);
         }
-        (sizes.iter().all(|&size| size <= most)).then_some(groups)
+        (sizes.iter().all(|&size| size <= max)).then_some(groups)
     };
     (fewest..=small.len().max(1)).find_map(fits).unwrap_or_default()
 }
 
-/// Cells of data centres of their own, numbered in the order of the names.
-fn spans(counts: BTreeMap<String, u32>) -> BTreeMap<String, Span> {
+/// Numbers the cells of data centres that share none, in the order of their names.
+fn number_counts(counts: BTreeMap<String, u32>) -> BTreeMap<String, Span> {
     let mut first = 0;
     let number = |(dc, count)| {
         let span = Span { first, count };
--- a/crates/front/src/lessons.rs
+++ b/crates/front/src/learned.rs
@@ -1,4 +1,4 @@
-//! Hands what an owner has learned to the next one, by way of the log.
+//! Stores an owner's learned model in the log for its successor.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -11,37 +11,37 @@
 
 use crate::clock::{now, wall};
 use crate::host::Host;
-use crate::names::LESSONS;
+use crate::names::LEARNED;
 use crate::newest::newest;
 use crate::owned::Owned;
 
-/// The time between two writings: about as long as a new owner would take to learn the same.
+/// The time between two writes: about as long as a new owner would take to learn the same.
 const EVERY: Duration = Duration::from_secs(5);
 
-/// How long the store may take for an append or a page.
-const LIMIT: Duration = Duration::from_millis(1_000);
+/// The time limit for an append or a page.
+const CALL_LIMIT: Duration = Duration::from_millis(1_000);
 
-/// The key of a cell's lessons in its partition.
+/// The key of a cell's learned model in its partition.
 const KEY: &str = "cell";
 
-/// Writes what the owner has learned until the cell is another host's.
+/// Writes the learned model periodically until the owner is closed.
 pub async fn run(host: Arc<Host>, owned: Arc<Owned>) {
     loop {
         sleep(EVERY).await;
         if owned.closed() {
             return;
         }
-        // A deposed owner's lessons are as good as any, so they need no fencing token.
+        // A deposed owner's model is as good as any, so the write needs no fencing token.
         if let Err(e) = write(&host, &owned).await {
             warn!("event=lessons-unwritten cell={} reason=\"{e}\"", owned.cell);
         }
     }
 }
 
-/// Goes on with what the last owner has learned; without it the owner learns anew.
-pub async fn recall(host: &Host, owned: &Owned) {
+/// Loads the learned model of the last owner; without one this owner starts to learn afresh.
+pub async fn load(host: &Host, owned: &Owned) {
     let mut found = None;
-    let read = newest(host, LESSONS, owned.cell, LIMIT, |item| found = Some(item.value)).await;
+    let read = newest(host, LEARNED, owned.cell, CALL_LIMIT, |item| found = Some(item.value)).await;
     if let Err(e) = read {
         warn!("event=lessons-unread cell={} reason=\"{e}\"", owned.cell);
         return;
@@ -55,12 +55,12 @@
     }
 }
 
-/// Writes what the owner has learned, if it has learned anything.
+/// Writes the learned model, if there is one.
 async fn write(host: &Host, owned: &Owned) -> Result<(), StoreError> {
-    let Some(lessons) = owned.state().lessons(now(), wall()) else {
+    let Some(model) = owned.state().lessons(now(), wall()) else {
         return Ok(());
     };
     let mut body = BytesMut::new();
-    frame_keyed(&mut body, KEY, &lessons);
-    host.store.append(LESSONS, owned.cell, None, body.freeze(), LIMIT).await.map(drop)
+    frame_keyed(&mut body, KEY, &model);
+    host.store.append(LEARNED, owned.cell, None, body.freeze(), CALL_LIMIT).await.map(drop)
 }
--- a/crates/front/src/listen.rs
+++ b/crates/front/src/listen.rs
@@ -22,18 +22,18 @@
 use crate::entry::serve;
 use crate::host::Host;
 
-/// The smallest buffer of a connection; hyper takes no smaller one.
-const SMALLEST: usize = 8 << 10;
+/// The smallest buffer of a connection that hyper allows, in bytes.
+const MIN_BUFFER: usize = 8 << 10;
 
-/// How long a checker's connection may be idle; one that went silent would be kept for good.
-const CHECK_WAIT: Duration = Duration::from_secs(10);
+/// How long a connection for checks may be idle; a dead one would stay open forever.
+const CHECK_IDLE: Duration = Duration::from_secs(10);
 
-/// The pause after the system could not give a connection.
-const PAUSE: Duration = Duration::from_millis(50);
+/// The pause after a connection could not be accepted.
+const ACCEPT_PAUSE: Duration = Duration::from_millis(50);
 
-/// Accepts clients until told to close; connections finish what they have begun.
+/// Accepts clients; on `closing`, connections finish the request in progress.
 ///
-/// The limit on heads also ends connections that are idle, and so those that went silent.
+/// The time limit for request heads also closes idle connections, and so dead ones.
 pub async fn clients(
     host: Arc<Host>,
     listener: TcpListener,
@@ -45,14 +45,14 @@
             Ok((stream, _)) => stream,
             Err(e) => {
                 warn!("event=accept-failed reason=\"{e}\"");
-                tokio::time::sleep(PAUSE).await;
+                tokio::time::sleep(ACCEPT_PAUSE).await;
                 continue;
             }
         };
         let _ = stream.set_nodelay(true);
         let limits = host.configuration().map_or_else(Limits::default, |c| c.limits);
         let head = Duration::from_millis(limits.header_wait);
-        let size = limits.header.max(SMALLEST);
+        let size = limits.header.max(MIN_BUFFER);
         let (host, closing) = (host.clone(), closing.clone());
         tracker.spawn(async move {
             let service = service_fn(move |request: Request<Incoming>| {
@@ -79,11 +79,11 @@
     }
 }
 
-/// Answers readiness checks and readers of metrics.
+/// Serves readiness checks and readers of metrics.
 pub async fn checks(host: Arc<Host>, listener: TcpListener) {
     loop {
         let Ok((stream, _)) = listener.accept().await else {
-            tokio::time::sleep(PAUSE).await;
+            tokio::time::sleep(ACCEPT_PAUSE).await;
             continue;
         };
         let host = host.clone();
@@ -94,7 +94,7 @@
             });
             let connection = http1::Builder::new()
                 .timer(TokioTimer::new())
-                .header_read_timeout(CHECK_WAIT)
+                .header_read_timeout(CHECK_IDLE)
                 .serve_connection(TokioIo::new(stream), service);
             if let Err(e) = connection.await {
                 debug!("event=check-broken reason=\"{e}\"");
@@ -105,7 +105,7 @@
 
 fn check(host: &Host, path: &str) -> Answer {
     if path.ends_with("/metrics") {
-        tally(host);
+        update_calls(host);
         return Response::new(Full::from(host.meter.text()));
     }
     let mut answer = Response::new(Full::<Bytes>::default());
@@ -115,8 +115,8 @@
     answer
 }
 
-/// Brings the figures on calls to the store up to date.
-fn tally(host: &Host) {
+/// Updates the metrics of calls to the store.
+fn update_calls(host: &Host) {
     for (kind, sum) in host.store.tally().sums() {
         host.meter.level("myrtle_store_calls", &kind, sum.calls as i64);
         host.meter.level("myrtle_store_bytes", &kind, sum.bytes as i64);
--- a/crates/front/src/logs.rs
+++ b/crates/front/src/logs.rs
@@ -1,4 +1,4 @@
-//! Structured lines on standard output that never block the host.
+//! Structured log lines on standard output that never block the host.
 
 use std::io::Write;
 use std::sync::Arc;
@@ -7,10 +7,10 @@
 
 use env_logger::{Builder, Env, Target};
 
-/// Lines that wait for a slow reader; more are dropped and counted.
-const WAITING: usize = 4096;
+/// The largest number of lines queued for a slow reader; further ones are dropped and counted.
+const QUEUE_LINES: usize = 4096;
 
-/// Lines that were dropped since the last one that got through.
+/// The number of lines dropped since the last write.
 static DROPPED: AtomicU64 = AtomicU64::new(0);
 
 struct Lines(SyncSender<Vec<u8>>);
@@ -28,9 +28,9 @@
     }
 }
 
-/// Sets up logs: `time level host event=...`, one decision a line.
+/// Sets up logs with one decision a line: `wall steady level host event=...`.
 pub fn start(host: &str) {
-    let (sender, receiver) = sync_channel(WAITING);
+    let (sender, receiver) = sync_channel(QUEUE_LINES);
     std::thread::spawn(move || write(&receiver));
     let host: Arc<str> = host.into();
     let level = Env::default().default_filter_or("info,tarpc=error");
@@ -47,7 +47,7 @@
 fn write(receiver: &Receiver<Vec<u8>>) {
     let mut out = std::io::stdout().lock();
     while let Ok(mut lines) = receiver.recv() {
-        // What has come meanwhile goes out in one call.
+        // All queued lines are written in one call.
         while let Ok(more) = receiver.try_recv() {
             lines.extend(more);
         }
@@ -55,7 +55,7 @@
         if dropped > 0 {
             let _ = writeln!(lines, "event=lines-dropped count={dropped}");
         }
-        // Nobody is left to be told when the reader has gone.
+        // Without a reader the failure can't be reported.
         if out.write_all(&lines).and_then(|()| out.flush()).is_err() {
             return;
         }
--- a/crates/front/src/main.rs
+++ b/crates/front/src/main.rs
@@ -1,4 +1,4 @@
-//! `myrtle-front`: takes jobs, owns cells, and keeps what must last in the platform's store.
+//! `myrtle-front`: accepts jobs, owns cells, and keeps durable state in the platform's store.
 
 use std::path::PathBuf;
 use std::process::ExitCode;
@@ -7,14 +7,14 @@
 
 use myrtle_front::{Settings, logs, run};
 
-/// The settings are wrong.
+/// The exit code if the settings are invalid.
 const BAD_SETTINGS: u8 = 2;
 
-/// The process cannot listen where the settings say.
-const NO_PORT: u8 = 3;
+/// The exit code if an address of the settings can't be bound.
+const BIND_FAILED: u8 = 3;
 
-/// The variable that names the settings file if no argument does.
-const PATH: &str = "MYRTLEPOST_CONFIG";
+/// The environment variable with the path of the settings file, used without the argument.
+const SETTINGS_VAR: &str = "MYRTLEPOST_CONFIG";
 
 /// A front host of myrtlepost; it takes everything else from its settings.
 #[derive(Debug, FromArgs)]
@@ -29,8 +29,9 @@
 
 fn main() -> ExitCode {
     let args: Args = argh::from_env();
-    let Some(path) = args.settings.or_else(|| std::env::var_os(PATH).map(PathBuf::from)) else {
-        eprintln!("error: no settings\n  hint: name a settings file, or set {PATH}");
+    let Some(path) = args.settings.or_else(|| std::env::var_os(SETTINGS_VAR).map(PathBuf::from))
+    else {
+        eprintln!("error: no settings\n  hint: name a settings file, or set {SETTINGS_VAR}");
         return ExitCode::from(BAD_SETTINGS);
     };
     let settings = match Settings::load(&path) {
@@ -53,7 +54,7 @@
         Ok(()) => ExitCode::SUCCESS,
         Err(e) => {
             eprintln!("error: cannot listen: {e}\n  hint: use free addresses of this host");
-            ExitCode::from(NO_PORT)
+            ExitCode::from(BIND_FAILED)
         }
     }
 }
--- a/crates/front/src/upkeep.rs
+++ b/crates/front/src/maintenance.rs
@@ -1,4 +1,4 @@
-//! Sees waves of upkeep through, for the owner of the first cell.
+//! Carries out maintenance waves, for the owner of the first cell.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
@@ -16,22 +16,22 @@
 
 use crate::clock::now;
 use crate::host::Host;
-use crate::names::{OWNER, WAVES};
+use crate::names::{OWNER_WRITER, WAVES};
 use crate::newest::newest;
 use crate::owned::Owned;
 
-/// The cell whose owner sees waves through; one host has to count the machines that are down.
-const CELL: u32 = 0;
+/// The cell whose owner carries out waves; a single host has to count the machines that are down.
+const WAVE_CELL: u32 = 0;
 
-/// The time between two looks.
+/// The time between two checks.
 const EVERY: Duration = Duration::from_millis(200);
 
-/// How long the store or the machine service may take.
-const LIMIT: Duration = Duration::from_millis(1_000);
+/// The time limit for a call to the store or the machine service.
+const CALL_LIMIT: Duration = Duration::from_millis(1_000);
 
-/// Runs until the cell is another host's.
+/// Runs until the owner is closed.
 pub async fn run(host: Arc<Host>, owned: Arc<Owned>) {
-    if owned.cell != CELL {
+    if owned.cell != WAVE_CELL {
         return;
     }
     let mut writes = 0;
@@ -42,18 +42,18 @@
         if waves.is_empty() {
             continue;
         }
-        // What earlier owners have seen through is read before the first wave goes on.
+        // The machines that earlier owners completed are read before the first wave continues.
         if done.is_none() {
-            done = read(&host).await.inspect_err(|e| host.store_missed(e)).ok();
+            done = read(&host).await.inspect_err(|e| host.store_failed(e)).ok();
         }
-        let Some(before) = &done else {
+        let Some(earlier) = &done else {
             continue;
         };
         for wave in waves {
-            let seen = before.get(&wave.number).cloned().unwrap_or_default();
-            owned.state().add_wave(wave_of(wave), seen, now());
+            let completed = earlier.get(&wave.number).cloned().unwrap_or_default();
+            owned.state().add_wave(wave_of(wave), completed, now());
         }
-        let (orders, news) = {
+        let (orders, changes) = {
             let mut cell = owned.state();
             (cell.waves(now()), cell.wave_news())
         };
@@ -61,11 +61,11 @@
             let (host, owned) = (host.clone(), owned.clone());
             tokio::spawn(async move { order(&host, &owned, &machine, wave).await });
         }
-        for (number, machines, complete) in news {
+        for (number, machines, complete) in changes {
             writes += 1;
             write(&host, &owned, writes, number, &machines, complete).await;
         }
-        owned.work.notify_one();
+        owned.wake.notify_one();
     }
 }
 
@@ -80,12 +80,12 @@
         return;
     };
     if !owned.may_lease() {
-        // It stood still, and another host may own the cell by now; not every machine service looks at tokens.
+        // After a pause of this process another host may own the cell, and not every machine service checks tokens.
         return owned.state().upkeep_told(wave, machine, Upkeep::Again, now());
     }
     let name = &host.settings.name;
-    let reply = machines.upkeep(machine, wave, name, owned.fence, LIMIT).await;
-    let told = match reply {
+    let reply = machines.upkeep(machine, wave, name, owned.fence, CALL_LIMIT).await;
+    let outcome = match reply {
         Ok(UpkeepReply::Begun) => Upkeep::Begun,
         Ok(UpkeepReply::Foreign) => Upkeep::Dropped,
         Ok(UpkeepReply::Fenced) => {
@@ -98,12 +98,12 @@
             Upkeep::Again
         }
     };
-    owned.state().upkeep_told(wave, machine, told, now());
+    owned.state().upkeep_told(wave, machine, outcome, now());
 }
 
 async fn read(host: &Host) -> Result<BTreeMap<u64, BTreeSet<String>>, StoreError> {
     let mut done = BTreeMap::new();
-    newest(host, WAVES, 0, LIMIT, |item| match (item.key.parse(), decode(&item.value)) {
+    newest(host, WAVES, 0, CALL_LIMIT, |item| match (item.key.parse(), decode(&item.value)) {
         (Ok(number), Ok(machines)) => drop(done.insert(number, machines)),
         _ => warn!("event=wave-record-unread key={}", item.key),
     })
@@ -111,7 +111,7 @@
     Ok(done)
 }
 
-/// Writes how far a wave is, under the owner's fencing token.
+/// Writes the progress of a wave under the owner's fencing token.
 async fn write(
     host: &Host,
     owned: &Owned,
@@ -127,12 +127,13 @@
     frame_keyed(&mut status, &key, wave_status(complete).as_bytes());
     for (topic, body) in [(WAVES, record), (topics::STATUS, status)] {
         let body = body.freeze();
-        let writer = Writer { name: OWNER, epoch: owned.fence, number: call };
-        while let Err(e) = host.store.append(topic, 0, Some(writer), body.clone(), LIMIT).await {
+        let writer = Writer { name: OWNER_WRITER, epoch: owned.fence, number: call };
+        while let Err(e) = host.store.append(topic, 0, Some(writer), body.clone(), CALL_LIMIT).await
+        {
             if matches!(e, StoreError::Fenced) {
                 return owned.depose("the log of waves");
             }
-            host.store_missed(&e);
+            host.store_failed(&e);
             if owned.closed() {
                 return;
             }
--- a/crates/front/src/names.rs
+++ b/crates/front/src/names.rs
@@ -1,58 +1,58 @@
-//! Names under which the project keeps its own records in the store.
+//! The names of topics, keys, groups and writers in the store.
 
 use myrtle_job::Incarnation;
 
-/// Accepted jobs, by their names; a cell's jobs lie in its partition.
+/// Accepted jobs by name; a cell's jobs are in its partition.
 pub const JOBS: &str = "keyed.jobs";
 
-/// The progress of jobs, by their names, the workers that were given work, and the owners, which alone write it.
+/// The progress of jobs by name, the workers that were given work, and the owners, which alone write to it.
 pub const PROGRESS: &str = "keyed.progress";
 
-/// The machines that waves of upkeep have seen through, by the waves' numbers.
+/// The machines that a maintenance wave has completed, by the wave's number.
 pub const WAVES: &str = "keyed.waves";
 
-/// Which cells there are, under one key.
+/// The layout of cells, under one key.
 pub const LAYOUT: &str = "keyed.layout";
 
-/// What each host carries, by its name, one partition a class of strength; the cells follow from that.
+/// The announcements of hosts by name, one partition per capacity class; the layout follows from them.
 pub const HOSTS: &str = "keyed.hosts";
 
-/// What owners have learned of images and loads, one key a partition.
-pub const LESSONS: &str = "keyed.lessons";
+/// The learned models of images and loads, one key per partition.
+pub const LEARNED: &str = "keyed.lessons";
 
-/// Who owns each cell, by its number; written by its owners, and by whoever finds it free.
+/// The owner of each cell by number, written by its owners and by hosts that find it free.
 pub const DIRECTORY: &str = "keyed.owners";
 
-/// The writer's name of every owner; the fencing token tells them apart.
-pub const OWNER: &str = "owner";
+/// The writer name that all owners share; the fencing token distinguishes them.
+pub const OWNER_WRITER: &str = "owner";
 
-/// What the keys of workers begin with in the topic of progress; no job's name does.
-const WORKER: &str = "worker.";
+/// The prefix of workers' keys in the topic of progress; no job's name begins with it.
+const WORKER_PREFIX: &str = "worker.";
 
-/// What the keys of owners begin with in the topic of progress; no job's name does.
-const OWNERS: &str = "owner.";
+/// The prefix of owners' keys in the topic of progress; no job's name begins with it.
+const OWNER_PREFIX: &str = "owner.";
 
-/// The key of an owner that may have given leases out, by its fencing token.
+/// The key of an owner that may have granted leases, by its fencing token.
 pub fn owner_key(fence: u64) -> String {
-    format!("{OWNERS}{fence}")
+    format!("{OWNER_PREFIX}{fence}")
 }
 
-/// The fencing token of the owner that a key tells of; nothing if it is another record's.
-pub fn owner_of(key: &str) -> Option<u64> {
-    key.strip_prefix(OWNERS)?.parse().ok()
+/// The fencing token in an owner's key; nothing for other keys.
+pub fn parse_owner(key: &str) -> Option<u64> {
+    key.strip_prefix(OWNER_PREFIX)?.parse().ok()
 }
 
-/// The key of a worker's description beside the progress of jobs.
-pub fn worker_key(life: &Incarnation) -> String {
-    format!("{WORKER}{life}")
+/// The key of a worker's description in the topic of progress.
+pub fn worker_key(incarnation: &Incarnation) -> String {
+    format!("{WORKER_PREFIX}{incarnation}")
 }
 
-/// The worker that a key tells of; nothing if it is a job's.
-pub fn worker_of(key: &str) -> Option<Incarnation> {
-    key.strip_prefix(WORKER)?.parse().ok()
+/// The incarnation in a worker's key; nothing for other keys.
+pub fn parse_worker(key: &str) -> Option<Incarnation> {
+    key.strip_prefix(WORKER_PREFIX)?.parse().ok()
 }
 
-/// The group whose member with the cell's partition owns the cell.
+/// The group of a cell; its member with the cell's partition owns the cell.
 pub fn group(cell: u32) -> String {
     format!("cell-{cell}")
 }
--- a/crates/front/src/operator.rs
+++ b/crates/front/src/operator.rs
@@ -1,4 +1,4 @@
-//! Follows what the operator writes: the configuration, data centres that are to be emptied, waves of upkeep.
+//! Reads the operator's records: the configuration, evacuated data centres and maintenance waves.
 
 use std::collections::BTreeSet;
 use std::sync::Arc;
@@ -14,30 +14,30 @@
 use crate::newest::newest;
 use crate::owned::Owned;
 
-/// How long a read waits for news; a cut that swallows the answer is noticed soon after, and a host that hears
-/// nothing from the store for half as long again is not ready.
-const WAIT: Duration = Duration::from_millis(1_000);
+/// How long a read waits for new records; a network partition shows soon after, and a host is not ready after half as
+/// long again without an answer of the store.
+const READ_WAIT: Duration = Duration::from_millis(1_000);
 
-/// What an answer may take beyond that.
-const BEYOND: Duration = Duration::from_millis(1_000);
+/// The time allowed for the reply to a waiting read beyond its wait.
+const REPLY_MARGIN: Duration = Duration::from_millis(1_000);
 
 /// The first pause after a failed read.
-const PAUSE: Duration = Duration::from_millis(100);
+const FIRST_PAUSE: Duration = Duration::from_millis(100);
 
-/// The longest pause between reads that fail, short against the time in which a host has to catch up.
-const LONGEST_PAUSE: Duration = Duration::from_millis(800);
+/// The longest pause after failed reads, short compared with the time in which a host has to catch up.
+const MAX_PAUSE: Duration = Duration::from_millis(800);
 
-/// How long the newest records may take.
-const NEWEST: Duration = Duration::from_millis(2_000);
+/// The time limit for one page of the newest records.
+const NEWEST_LIMIT: Duration = Duration::from_millis(2_000);
 
-/// Keeps the host's configuration up to date, for good.
+/// Follows the operator's records until the process ends.
 pub async fn follow(host: Arc<Host>) {
     let mut from = None;
-    let mut backoff = Backoff::new(PAUSE, LONGEST_PAUSE);
+    let mut backoff = Backoff::new(FIRST_PAUSE, MAX_PAUSE);
     loop {
         let step = match from {
-            None => whole(&host).await,
-            Some(at) => tail(&host, at).await,
+            None => read_newest(&host).await,
+            Some(at) => read_next(&host, at).await,
         };
         match step {
             Ok(next) => {
@@ -50,50 +50,51 @@
                 from = None;
             }
             Err(e) => {
-                host.store_missed(&e);
+                host.store_failed(&e);
                 sleep(backoff.pause()).await;
             }
         }
     }
 }
 
-/// Reads the newest record of each key.
+/// Reads the newest record of each key; returns the next offset.
 ///
-/// What it no longer shows was taken back while this host did not hear of it.
-async fn whole(host: &Host) -> Result<u64, StoreError> {
-    let mut emptied = BTreeSet::new();
-    let end = newest(host, topics::OPERATOR, 0, NEWEST, |item| {
+/// Evacuations without a record were withdrawn while this host did not read.
+async fn read_newest(host: &Host) -> Result<u64, StoreError> {
+    let mut evacuated = BTreeSet::new();
+    let end = newest(host, topics::OPERATOR, 0, NEWEST_LIMIT, |item| {
         match item.key.strip_prefix(topics::EMPTIED) {
-            Some(centre) => drop(emptied.insert(centre.to_string())),
-            None => take(host, &item.key, &item.value),
+            Some(data_centre) => drop(evacuated.insert(data_centre.to_string())),
+            None => apply(host, &item.key, &item.value),
         }
     });
     let end = end.await?;
-    if host.emptied.replace(emptied, &host.settings.data_centres) {
-        tell_owned(host);
+    if host.evacuated.replace(evacuated, &host.settings.data_centres) {
+        evacuate_owned(host);
     }
     Ok(end)
 }
 
-/// Reads what the operator has written since; waits for it if there is nothing.
-async fn tail(host: &Host, from: u64) -> Result<u64, StoreError> {
-    let page = host.store.read(topics::OPERATOR, 0, from, WAIT, WAIT + BEYOND).await?;
+/// Reads the records from an offset, and waits if there are none; returns the next offset.
+async fn read_next(host: &Host, from: u64) -> Result<u64, StoreError> {
+    let page =
+        host.store.read(topics::OPERATOR, 0, from, READ_WAIT, READ_WAIT + REPLY_MARGIN).await?;
     let next = from + page.records.len() as u64;
     for record in page.records {
         match unframe_keyed(record) {
-            Ok(framed) => take(host, &framed.key, &framed.value),
+            Ok(framed) => apply(host, &framed.key, &framed.value),
             Err(e) => warn!("event=configuration-unread reason=\"{e}\""),
         }
     }
     Ok(next)
 }
 
-/// Takes in a record of the operator's; one that nothing here knows is told once.
-fn take(host: &Host, key: &str, value: &[u8]) {
-    if let Some(centre) = key.strip_prefix(topics::EMPTIED) {
-        // Whatever the record holds, it asks; only its removal takes that back.
-        if host.emptied.set(centre, !value.is_empty(), &host.settings.data_centres) {
-            tell_owned(host);
+/// Applies a record of the operator; an unknown key is logged once.
+fn apply(host: &Host, key: &str, value: &[u8]) {
+    if let Some(data_centre) = key.strip_prefix(topics::EMPTIED) {
+        // Any value requests the evacuation; only the removal of the record withdraws it.
+        if host.evacuated.set(data_centre, !value.is_empty(), &host.settings.data_centres) {
+            evacuate_owned(host);
         }
         return;
     }
@@ -110,23 +111,23 @@
             Ok(configuration) => host.configure(configuration),
             Err(e) => warn!("event=configuration-unread reason=\"{e}\""),
         }
-    } else if host.strange.first(key) {
+    } else if host.unknown_keys.insert(key) {
         host.meter.count("myrtle_operator_records_unknown", "");
         warn!("event=operator-record-unknown key={key} bytes={}", value.len());
     }
 }
 
-/// Tells the cells that this host owns which data centres are being emptied.
-fn tell_owned(host: &Host) {
+/// Applies the evacuated data centres to all cells that this host owns.
+fn evacuate_owned(host: &Host) {
     for owned in host.all_owned() {
-        empty(host, &owned);
+        evacuate(host, &owned);
     }
 }
 
-/// Tells a cell which data centres are being emptied.
-pub fn empty(host: &Host, owned: &Owned) {
-    let centres = host.emptied.centres();
-    host.meter.level("myrtle_data_centres_emptied", "", centres.len() as i64);
-    owned.state().empty_centres(&centres);
-    owned.work.notify_one();
+/// Applies the evacuated data centres to a cell.
+pub fn evacuate(host: &Host, owned: &Owned) {
+    let data_centres = host.evacuated.centres();
+    host.meter.level("myrtle_data_centres_emptied", "", data_centres.len() as i64);
+    owned.state().empty_centres(&data_centres);
+    owned.wake.notify_one();
 }
--- a/crates/front/src/orders.rs
+++ b/crates/front/src/orders.rs
@@ -1,4 +1,4 @@
-//! Sends orders to workers and tells the cell what came of them.
+//! Sends orders to workers and applies their replies to the cell.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -10,27 +10,27 @@
 use myrtle_owner::{Order, Outcome};
 
 use crate::clock::now;
-use crate::owned::{Line, Owned};
+use crate::owned::{Owned, WorkerLink};
 
-/// How long an order's answer may take: many times the longest way, and short against a task.
-const LIMIT: Duration = Duration::from_millis(400);
+/// The time limit for an order: many times the longest round trip, and short compared with a task.
+const ORDER_LIMIT: Duration = Duration::from_millis(400);
 
-/// Sends one order.
+/// Sends one order unless it is no longer valid.
 pub async fn send(owned: Arc<Owned>, order: Order) {
-    let Some(line) = owned.line(order.worker()) else {
+    let Some(link) = owned.link(order.worker()) else {
         return answer(&owned, &order, Outcome::Unsent);
     };
-    let Ok(_permit) = line.permits.acquire().await else {
+    let Ok(_permit) = link.permits.acquire().await else {
         return;
     };
     if owned.closed() || !owned.state().stands(&order, now()) {
         return;
     }
-    let outcome = call(&owned, &line, &order).await;
+    let outcome = call(&owned, &link, &order).await;
     answer(&owned, &order, outcome);
 }
 
-async fn call(owned: &Owned, line: &Line, order: &Order) -> Outcome {
+async fn call(owned: &Owned, link: &WorkerLink, order: &Order) -> Outcome {
     let fence = owned.fence;
     let result = match order {
         Order::Start { worker, task, run, body, saved, ticket } => {
@@ -40,17 +40,17 @@
             };
             let (task, ticket) = (task.to_string(), ticket.as_deref());
             let start = StartOrder { task: &task, run: *run, body, until, fence, saved, ticket };
-            line.client.start(&start, LIMIT).await
+            link.client.start(&start, ORDER_LIMIT).await
         }
         Order::Stop { task, run, .. } => {
-            line.client.stop(&task.to_string(), *run, fence, LIMIT).await
+            link.client.stop(&task.to_string(), *run, fence, ORDER_LIMIT).await
         }
         Order::Pace { task, run, percent, .. } => {
-            line.client.pace(&task.to_string(), *run, *percent, fence, LIMIT).await
+            link.client.pace(&task.to_string(), *run, *percent, fence, ORDER_LIMIT).await
         }
     };
     match result {
-        Ok((told, _)) => Outcome::Told(told),
+        Ok((reply, _)) => Outcome::Told(reply),
         Err(WorkerError::Replaced(by)) => Outcome::Replaced(by),
         Err(WorkerError::Unwell { .. }) => Outcome::Unwell,
         Err(WorkerError::Failure(f)) if !f.sent => Outcome::Unsent,
@@ -84,6 +84,6 @@
         owned.depose("a worker that has seen a higher fencing token");
     }
     if outcome != Outcome::Told(Told::Done) {
-        owned.work.notify_one();
+        owned.wake.notify_one();
     }
 }
--- a/crates/front/src/owned.rs
+++ b/crates/front/src/owned.rs
@@ -1,4 +1,4 @@
-//! A cell that this host owns: its state, and the parts that act for it.
+//! A cell that this host owns: its state, and what the tasks that act for it share.
 
 use std::collections::{BTreeSet, HashMap};
 use std::sync::atomic::{AtomicBool, AtomicU64, Ordering};
@@ -14,15 +14,15 @@
 use crate::busy::Busy;
 use crate::clock::now;
 
-/// Orders that one worker is given at a time; more would open more connections to it.
-const AT_ONCE: usize = 2;
+/// The number of orders in progress per worker; more would need more connections to it.
+const MAX_ORDERS: usize = 2;
 
-/// A worker's client and the bound on orders under way.
+/// A worker's client and the limit on its orders in progress.
 #[derive(Debug)]
-pub struct Line {
+pub struct WorkerLink {
     /// The client.
     pub client: WorkerClient,
-    /// Permits for orders.
+    /// The permits for orders.
     pub permits: Semaphore,
 }
 
@@ -33,19 +33,19 @@
     pub cell: u32,
     /// The fencing token.
     pub fence: u64,
-    /// Wakes the part that plans and writes.
-    pub work: Notify,
-    /// Counts batches that are in the log.
+    /// Wakes the task that plans and writes.
+    pub wake: Notify,
+    /// The number of batches in the log.
     pub committed: watch::Sender<u64>,
-    /// How far accepted jobs have been read.
-    pub read: AtomicU64,
-    /// Where this owner's time goes.
+    /// The next offset of accepted jobs to read.
+    pub next_offset: AtomicU64,
+    /// The measured time of this owner's work.
     pub busy: Busy,
     state: Mutex<Cell>,
-    held: Mutex<BTreeSet<Incarnation>>,
-    lines: Mutex<HashMap<Incarnation, Arc<Line>>>,
-    confirmed: AtomicU64,
-    /// How long the store keeps a silent owner, in milliseconds.
+    renewing: Mutex<BTreeSet<Incarnation>>,
+    links: Mutex<HashMap<Incarnation, Arc<WorkerLink>>>,
+    confirmed_at: AtomicU64,
+    /// The time to live of the owner's membership, in milliseconds.
     ttl: u64,
     closed: AtomicBool,
     deposed: AtomicBool,
@@ -53,20 +53,20 @@
 }
 
 impl Owned {
-    /// A cell just taken over, which the store `confirmed` then; it keeps the owner for `ttl` milliseconds without a
-    /// word.
-    pub fn new(cell: u32, fence: u64, state: Cell, confirmed: u64, ttl: u64) -> Self {
+    /// Creates the owner of a cell, which the store last confirmed at `confirmed_at`; the membership lives for `ttl`
+    /// milliseconds.
+    pub fn new(cell: u32, fence: u64, state: Cell, confirmed_at: u64, ttl: u64) -> Self {
         Self {
             cell,
             fence,
-            work: Notify::new(),
+            wake: Notify::new(),
             committed: watch::Sender::new(0),
-            read: AtomicU64::new(0),
+            next_offset: AtomicU64::new(0),
             busy: Busy::default(),
             state: Mutex::new(state),
-            held: Mutex::default(),
-            lines: Mutex::default(),
-            confirmed: AtomicU64::new(confirmed),
+            renewing: Mutex::default(),
+            links: Mutex::default(),
+            confirmed_at: AtomicU64::new(confirmed_at),
             ttl,
             closed: AtomicBool::new(false),
             deposed: AtomicBool::new(false),
@@ -74,52 +74,52 @@
         }
     }
 
-    /// The cell's state, for a moment.
+    /// Locks the cell's state.
     pub fn state(&self) -> MutexGuard<'_, Cell> {
         self.state.lock().expect("no holder panics")
     }
 
-    /// The client of a worker, made at the first use.
-    pub fn line(&self, worker: &Incarnation) -> Option<Arc<Line>> {
+    /// The link to a worker, created at the first use; nothing if the worker has no listing.
+    pub fn link(&self, worker: &Incarnation) -> Option<Arc<WorkerLink>> {
         let address = self.state().workers.get(worker)?.listing.as_ref()?.address;
-        let mut lines = self.lines.lock().expect("no holder panics");
-        let line = lines.entry(worker.clone()).or_insert_with(|| {
+        let mut links = self.links.lock().expect("no holder panics");
+        let link = links.entry(worker.clone()).or_insert_with(|| {
             let client = WorkerClient::new(address, worker);
-            Arc::new(Line { client, permits: Semaphore::new(AT_ONCE) })
+            Arc::new(WorkerLink { client, permits: Semaphore::new(MAX_ORDERS) })
         });
-        Some(line.clone())
+        Some(link.clone())
     }
 
-    /// Notes that an incarnation of a worker is held; false if it was before.
-    pub fn hold(&self, worker: &Incarnation) -> bool {
-        self.held.lock().expect("no holder panics").insert(worker.clone())
+    /// Marks an incarnation's lease as being renewed; false if it was before.
+    pub fn start_renewal(&self, worker: &Incarnation) -> bool {
+        self.renewing.lock().expect("no holder panics").insert(worker.clone())
     }
 
-    /// Forgets a worker's client; it is held anew if it is listed again.
-    pub fn hang_up(&self, worker: &Incarnation) {
-        self.held.lock().expect("no holder panics").remove(worker);
-        self.lines.lock().expect("no holder panics").remove(worker);
+    /// Forgets a worker's link; renewal starts again if it is listed again.
+    pub fn forget_worker(&self, worker: &Incarnation) {
+        self.renewing.lock().expect("no holder panics").remove(worker);
+        self.links.lock().expect("no holder panics").remove(worker);
     }
 
-    /// Whether leases may be given out: the next owner counts on it that none is once the store may have given the
-    /// cell away.
+    /// Whether leases may be granted: a successor relies on none being granted once the store may have assigned the
+    /// cell to it.
     pub fn may_lease(&self) -> bool {
         !self.closed() && self.unconfirmed() < self.ttl
     }
 
-    /// Notes that the store may give the cell away from now on.
+    /// Records that the store may assign the cell elsewhere from now on.
     pub fn unconfirm(&self) {
-        self.confirmed.store(0, Ordering::Relaxed);
+        self.confirmed_at.store(0, Ordering::Relaxed);
     }
 
-    /// Notes that the store confirmed the ownership at a moment.
+    /// Records that the store confirmed the ownership at a time.
     pub fn confirm(&self, at: u64) {
-        self.confirmed.fetch_max(at, Ordering::Relaxed);
+        self.confirmed_at.fetch_max(at, Ordering::Relaxed);
     }
 
     /// Milliseconds since the store confirmed the ownership.
     pub fn unconfirmed(&self) -> u64 {
-        now().saturating_sub(self.confirmed.load(Ordering::Relaxed))
+        now().saturating_sub(self.confirmed_at.load(Ordering::Relaxed))
     }
 
     /// Whether this host no longer acts for the cell.
@@ -132,33 +132,33 @@
         if !self.closed.swap(true, Ordering::Relaxed) {
             info!("event=owner-stops cell={} fence={} reason=\"{why}\"", self.cell, self.fence);
         }
-        self.work.notify_one();
+        self.wake.notify_one();
     }
 
-    /// Whether a batch is on its way to the log.
+    /// Whether a batch is being appended to the log.
     pub fn writing(&self) -> bool {
         self.writing.load(Ordering::Relaxed)
     }
 
-    /// Notes whether a batch is on its way to the log.
-    pub fn write(&self, writing: bool) {
+    /// Sets whether a batch is being appended to the log.
+    pub fn set_writing(&self, writing: bool) {
         self.writing.store(writing, Ordering::Relaxed);
     }
 
-    /// Whether a later owner has been met.
+    /// Whether a later owner was detected.
     pub fn deposed(&self) -> bool {
         self.deposed.load(Ordering::Relaxed)
     }
 
-    /// A later owner has been met.
+    /// Closes the owner because a later one was detected.
     pub fn depose(&self, by: &str) {
         if !self.deposed.swap(true, Ordering::Relaxed) {
             warn!("event=owner-deposed cell={} fence={} by=\"{by}\"", self.cell, self.fence);
         }
-        self.close("a later owner has taken over");
+        self.close("a later owner exists");
     }
 
-    /// Sends orders, each by itself.
+    /// Sends orders, each in its own task.
     pub fn dispatch(self: &Arc<Self>, orders: Vec<Order>) {
         for order in orders {
             let owned = self.clone();
--- a/crates/front/src/ownership/mod.rs
+++ b/crates/front/src/ownership/mod.rs
@@ -1,16 +1,17 @@
-//! Who owns which cell: how hosts hear of it, find cells that nobody owns, and take them.
+//! Ownership of cells: how hosts learn the owners, find cells without one, and become owners.
 //!
-//! The store's group of a cell decides. The directory, which owners write and all hosts follow by one waiting read, is
-//! only a hint: it saves a host from asking about every cell, and a host that it misleads is corrected by the store.
+//! The store's group of a cell decides who owns it. The directory is a topic that owners write and all hosts follow
+//! with one waiting read. It is only a hint that saves queries for every cell; the store corrects a host that it
+//! misleads.
 
 mod directory;
 mod entry;
-pub mod lookout;
 pub mod member;
+pub mod monitor;
 pub mod owners;
-mod standing;
+mod query;
 mod watch;
 
-pub use directory::{follow, tell_free, tell_held, tell_over};
+pub use directory::{announce_end, announce_free, announce_owner, follow};
 pub use entry::{Directory, Entry};
-pub use watch::{Place, Seen, Step, Watch};
+pub use watch::{Candidate, Holder, Step, Watch};
--- a/crates/front/src/ownership/owners.rs
+++ b/crates/front/src/ownership/owners.rs
@@ -1,4 +1,4 @@
-//! Finds the owner of a cell and asks it.
+//! Finds the owner of a cell and calls it.
 
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -15,57 +15,56 @@
 use crate::host::Host;
 use crate::names::group;
 
-/// The shortest time between two questions for the owner of a cell, in milliseconds.
-const ASK_PAUSE: u64 = 150;
+/// The shortest time between two requests to the store for the owner of a cell, in milliseconds.
+const FIND_PAUSE: u64 = 150;
 
-/// How long the store may take to name an owner.
-const ASK_LIMIT: Duration = Duration::from_millis(500);
+/// The time limit for such a request.
+const FIND_LIMIT: Duration = Duration::from_millis(500);
 
-/// For how long an owner that could not be reached is not tried again, in milliseconds, unless the store or the
-/// directory names it anew.
-const DOUBT: u64 = 1_000;
+/// How long an unreachable owner is not called again, in milliseconds, unless the store or the directory names it anew.
+const RETRY_AFTER: u64 = 1_000;
 
-/// An owner as last heard.
+/// A cached owner.
 #[derive(Debug, Clone, Copy)]
-struct Known {
+struct Owner {
     at: SocketAddr,
-    /// Until when it is not tried.
-    doubt: u64,
+    /// When it may be called again, in milliseconds of the steady clock.
+    retry_at: u64,
 }
 
-/// Who owns which cell, as last heard.
+/// The cached owners of cells, and the connections to them.
 #[derive(Debug, Default)]
 pub struct Owners {
-    known: Mutex<HashMap<u32, Known>>,
+    known: Mutex<HashMap<u32, Owner>>,
     asked: Mutex<HashMap<u32, u64>>,
     links: Mutex<HashMap<SocketAddr, Arc<Link<FrontPeerClient>>>>,
 }
 
 impl Owners {
-    /// Nobody is known.
+    /// Creates an empty cache.
     pub fn new() -> Self {
         Self::default()
     }
 
-    /// The owner of a cell as last heard.
+    /// The cached address of a cell's owner, unless it was unreachable a moment ago.
     pub fn known(&self, cell: u32) -> Option<SocketAddr> {
         let known = self.known.lock().expect("no holder panics");
-        known.get(&cell).filter(|owner| owner.doubt <= now()).map(|owner| owner.at)
+        known.get(&cell).filter(|owner| owner.retry_at <= now()).map(|owner| owner.at)
     }
 
-    /// Notes that a cell has no owner.
+    /// Forgets the owner of a cell that has none.
     pub fn remove(&self, cell: u32) {
         self.known.lock().expect("no holder panics").remove(&cell);
     }
 
-    /// Notes that the owner of a cell could not be reached, or is another one by now.
-    pub fn doubt(&self, cell: u32) {
+    /// Marks the owner of a cell as unreachable or outdated.
+    pub fn suspect(&self, cell: u32) {
         if let Some(owner) = self.known.lock().expect("no holder panics").get_mut(&cell) {
-            owner.doubt = now() + DOUBT;
+            owner.retry_at = now() + RETRY_AFTER;
         }
     }
 
-    /// The owner of a cell, asked of the store if it is not known.
+    /// The owner of a cell, from the store if it is not cached; nothing if the store was asked a moment ago.
     pub async fn find(&self, host: &Host, cell: u32) -> Option<SocketAddr> {
         if let Some(at) = self.known(cell) {
             return Some(at);
@@ -73,12 +72,12 @@
         {
             let mut asked = self.asked.lock().expect("no holder panics");
             let last = asked.entry(cell).or_default();
-            if now() < *last + ASK_PAUSE {
+            if now() < *last + FIND_PAUSE {
                 return None;
             }
             *last = now();
         }
-        let rows = host.store.owners(&group(cell), ASK_LIMIT).await;
+        let rows = host.store.owners(&group(cell), FIND_LIMIT).await;
         let rows = match rows {
             Ok(rows) => rows,
             Err(e) => {
@@ -93,17 +92,17 @@
         Some(at)
     }
 
-    /// Notes who owns a cell.
+    /// Caches the owner of a cell.
     pub fn learn(&self, cell: u32, at: SocketAddr) {
-        self.known.lock().expect("no holder panics").insert(cell, Known { at, doubt: 0 });
+        self.known.lock().expect("no holder panics").insert(cell, Owner { at, retry_at: 0 });
     }
 
-    /// Whether a peer can be reached; if not, nothing was sent to it.
+    /// Whether a peer can be reached; sends it nothing.
     pub async fn reach(&self, at: SocketAddr) -> bool {
         self.link(at).reach().await
     }
 
-    /// Calls a peer; nothing if it could not be reached or did not answer in time.
+    /// Calls a peer; returns nothing if it was unreachable or did not answer in time.
     pub async fn call<T, F, R>(&self, at: SocketAddr, limit: Duration, call: F) -> Option<T>
     where
         F: FnOnce(FrontPeerClient, Context) -> R,
@@ -118,12 +117,12 @@
     }
 }
 
-/// Where the member of a group answers peers.
+/// The peer address in a member name.
 pub fn address(member: &str) -> Option<SocketAddr> {
     member.rsplit_once('@')?.1.parse().ok()
 }
 
-/// The largest cell that the member of a group can own, in workers.
-pub fn carries(member: &str) -> Option<usize> {
+/// The capacity in a member name, in workers.
+pub fn max_workers(member: &str) -> Option<usize> {
     member.rsplit_once('@')?.0.rsplit_once('+')?.1.parse().ok()
 }
--- a/crates/front/src/ownership/watch.rs
+++ b/crates/front/src/ownership/watch.rs
@@ -1,196 +1,211 @@
-//! When a host looks whether a cell has an owner, and when it takes one that has none.
+//! When a host asks the store for the owner of a cell, and when it joins the group of a cell without one.
 //!
-//! Load pattern: a fleet in which every host looks at every cell asks the store as often as hosts times cells, and cells
-//! grow with the fleet. So hosts take turns: the time between two looks of a host grows with the number of those that
-//! look after the same cell, so that each cell is looked at as often however many they are. Who finds a cell free tells
-//! all, and the strong ones of its data centres go first.
+//! Load pattern: if every host asks for every cell, the store's queries grow with hosts times cells, and cells grow
+//! with the fleet. So a host's query interval grows with the number of hosts that monitor the same cell, which keeps
+//! the rate of queries per cell constant. A host that finds a cell free announces it, and local hosts with the
+//! capacity join first.
 
 use std::net::SocketAddr;
 
-/// The time between two looks at a cell by any of the hosts that look after it, in milliseconds.
-const SPACING: u64 = 100;
+/// The mean time between two queries for a cell by any of its local hosts, in milliseconds.
+const QUERY_SPACING: u64 = 100;
 
-/// The same by those of other data centres: they only matter once all hosts at home are lost.
-const SPACING_ABROAD: u64 = 400;
+/// The same for remote hosts, in milliseconds; they only matter once all local hosts are lost.
+const REMOTE_SPACING: u64 = 400;
 
-/// The shortest time between two looks of one host, in milliseconds.
-const LOOK: u64 = 450;
+/// The shortest query interval of a local host, in milliseconds.
+const MIN_INTERVAL: u64 = 450;
 
-/// The same of a host of another data centre.
-const LOOK_ABROAD: u64 = 2_500;
+/// The shortest query interval of a remote host, in milliseconds.
+const REMOTE_INTERVAL: u64 = 2_500;
 
-/// The longest wait of a host that finds a cell without an owner, in milliseconds, so that seldom
-/// two join at once.
+/// The longest random delay before a host joins, in milliseconds, so that two hosts seldom join at once.
 const JITTER: u64 = 500;
 
-/// How long a host that is too weak for a cell leaves it to stronger ones, in milliseconds.
-const WEAK_WAIT: u64 = 1_500;
+/// How much longer a host without the capacity for a cell delays its join, in milliseconds.
+const UNDERSIZED_DELAY: u64 = 1_500;
 
-/// How long a host of another data centre leaves a cell to those at home, in milliseconds.
-const ABROAD_WAIT: u64 = 2_000;
+/// How much longer a remote host delays its join, in milliseconds.
+const REMOTE_DELAY: u64 = 2_000;
 
-/// For how long a weak owner is known before a stronger host asks for the cell, in milliseconds, so
-/// that hosts that come back together settle first.
-const WEAK_FOR: u64 = 2_700;
+/// How long a host waits before it asks an undersized owner for the cell, in milliseconds, so that ownership settles
+/// first when many hosts restart together.
+const RELIEVE_DELAY: u64 = 2_700;
 
-/// What a host is to a cell.
+/// What decides how soon a host joins the group of a cell.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Place {
-    /// Whether it is in one of the cell's data centres.
-    pub home: bool,
-    /// Whether it can own the cell.
-    pub strong: bool,
-    /// How many hosts there are that are at home as it is, or abroad.
+pub struct Candidate {
+    /// Whether the host is in one of the cell's data centres.
+    pub local: bool,
+    /// Whether the host has the capacity to own the cell.
+    pub has_capacity: bool,
+    /// The number of hosts that are local to the cell, if this one is, or else remote.
     pub hosts: usize,
 }
 
-/// Who holds a cell.
+/// The owner of a cell, as far as its capacity matters.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Seen {
-    /// Nobody.
+pub enum Holder {
+    /// The cell has no owner.
     Vacant,
-    /// A host that can own it.
-    Held,
-    /// A host that is too weak for it, where it answers peers.
-    Weak(SocketAddr),
-    /// The store does not tell.
+    /// The owner has the capacity.
+    Capable,
+    /// The owner lacks the capacity; with its peer address.
+    Undersized(SocketAddr),
+    /// The store did not answer.
     Unknown,
 }
 
-/// What is to be done next about a cell.
+/// The next action for a cell.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Step {
-    /// Nothing until this time, or until the directory has news.
-    Rest(u64),
-    /// Ask the store who holds it.
-    Look,
-    /// Tell all hosts that it is free.
-    Tell,
-    /// Take it.
-    Take,
-    /// Ask its owner, which is too weak for it, to give it up.
+    /// Wait until this time or until the directory has a new record.
+    Wait(u64),
+    /// Ask the store for the owner.
+    Query,
+    /// Announce that the cell is free.
+    Announce,
+    /// Join the group of the cell.
+    Join,
+    /// Ask the undersized owner at this address to give up the cell.
     Relieve(SocketAddr),
 }
 
-/// What one host knows and intends of one cell; times are in milliseconds of its steady clock.
+/// One host's monitoring state of one cell; times are in milliseconds of its steady clock.
 #[derive(Debug)]
 pub struct Watch {
-    place: Place,
-    /// When the next look is due.
-    due: u64,
-    /// When it may be taken, if it is free.
-    take: Option<u64>,
-    /// Whether the last look showed that it may be taken now.
-    sure: bool,
-    /// Whether all hosts have been told that it is free.
-    told: bool,
-    /// Its owner, if that is too weak for it, and when that is asked to give it up.
-    weak: Option<(SocketAddr, u64)>,
+    candidate: Candidate,
+    /// When the next query is due.
+    query_at: u64,
+    /// When the host may join, if the cell is free.
+    join_at: Option<u64>,
+    /// Whether the last query found the cell still free at that time.
+    vacancy_seen: bool,
+    /// Whether it has been announced that the cell is free.
+    announced: bool,
+    /// The undersized owner, if the cell has one, and when it is asked to give up the cell.
+    undersized: Option<(SocketAddr, u64)>,
 }
 
 impl Watch {
-    /// Knows nothing yet; `draw` is from 0 to 1, another one for each host.
-    pub fn new(place: Place, now: u64, draw: f64) -> Self {
-        let due = if place.home && place.strong { 0 } else { portion(place.every(), draw) };
-        Self { place, due: now + due, take: None, sure: false, told: false, weak: None }
+    /// Starts without a known owner; `draw` is a random number from 0 to 1, as in all methods.
+    pub fn new(candidate: Candidate, now: u64, draw: f64) -> Self {
+        let delay = if candidate.local && candidate.has_capacity {
+            0
+        } else {
+            scale(candidate.interval(), draw)
+        };
+        Self {
+            candidate,
+            query_at: now + delay,
+            join_at: None,
+            vacancy_seen: false,
+            announced: false,
+            undersized: None,
+        }
     }
 
-    /// What is to be done now.
+    /// Returns the action that is due now.
     pub fn next(&mut self, now: u64) -> Step {
-        if std::mem::take(&mut self.sure) {
-            return Step::Take;
+        if std::mem::take(&mut self.vacancy_seen) {
+            return Step::Join;
         }
-        if self.take.is_some() && !std::mem::replace(&mut self.told, true) {
-            return Step::Tell;
+        if self.join_at.is_some() && !std::mem::replace(&mut self.announced, true) {
+            return Step::Announce;
         }
-        if let Some((at, due)) = self.weak.filter(|_| self.place.strong && self.place.home) {
-            if due <= now {
-                self.weak = Some((at, now + WEAK_FOR));
+        if let Some((at, query_at)) =
+            self.undersized.filter(|_| self.candidate.has_capacity && self.candidate.local)
+        {
+            if query_at <= now {
+                self.undersized = Some((at, now + RELIEVE_DELAY));
                 return Step::Relieve(at);
             }
-            if due < self.due {
-                return Step::Rest(due);
+            if query_at < self.query_at {
+                return Step::Wait(query_at);
             }
         }
-        let due = self.take.unwrap_or(self.due);
-        if due <= now { Step::Look } else { Step::Rest(due) }
+        let query_at = self.join_at.unwrap_or(self.query_at);
+        if query_at <= now { Step::Query } else { Step::Wait(query_at) }
     }
 
-    /// Takes in what a look showed; `owned` cells are this host's already.
-    pub fn saw(&mut self, seen: Seen, owned: usize, now: u64, draw: f64) {
-        match seen {
-            Seen::Vacant if self.take.is_some_and(|at| at <= now) => self.sure = true,
-            Seen::Vacant => self.free(false, owned, now, draw),
-            Seen::Held => self.looked(None, now, draw),
-            Seen::Weak(at) => self.looked(Some(at), now, draw),
-            Seen::Unknown => {
-                self.take = self.take.map(|at| at.max(now + LOOK));
-                self.due = now + self.place.every();
+    /// Applies the result of a query; this host owns `owned` cells.
+    pub fn on_query(&mut self, holder: Holder, owned: usize, now: u64, draw: f64) {
+        match holder {
+            Holder::Vacant if self.join_at.is_some_and(|at| at <= now) => self.vacancy_seen = true,
+            Holder::Vacant => self.set_free(false, owned, now, draw),
+            Holder::Capable => self.owner_found(None, now, draw),
+            Holder::Undersized(at) => self.owner_found(Some(at), now, draw),
+            Holder::Unknown => {
+                self.join_at = self.join_at.map(|at| at.max(now + MIN_INTERVAL));
+                self.query_at = now + self.candidate.interval();
             }
         }
     }
 
-    /// The directory says that the cell is free.
-    pub fn hear_free(&mut self, owned: usize, now: u64, draw: f64) {
-        self.free(true, owned, now, draw);
+    /// Applies an announcement that the cell is free.
+    pub fn on_free(&mut self, owned: usize, now: u64, draw: f64) {
+        self.set_free(true, owned, now, draw);
     }
 
-    /// The directory names an owner; too weak for the cell if `weak` tells where it answers.
-    pub fn hear_held(&mut self, weak: Option<SocketAddr>, now: u64, draw: f64) {
-        self.held(weak, now, draw);
+    /// Applies an announcement of an owner; `undersized` is its address if it lacks the capacity.
+    pub fn on_owner(&mut self, undersized: Option<SocketAddr>, now: u64, draw: f64) {
+        self.set_owned(undersized, now, draw);
     }
 
-    /// The host has tried to take the cell, or has had it.
-    pub fn tried(&mut self, now: u64, draw: f64) {
-        self.held(None, now, draw);
-        self.due = now + portion(LOOK, draw);
+    /// Resets the state after the host tried to join, or was the owner.
+    pub fn on_attempt(&mut self, now: u64, draw: f64) {
+        self.set_owned(None, now, draw);
+        self.query_at = now + scale(MIN_INTERVAL, draw);
     }
 
-    /// Its own look has shown an owner; the next one comes after those of the others.
-    fn looked(&mut self, weak: Option<SocketAddr>, now: u64, draw: f64) {
-        let every = self.place.every();
-        self.due = now + 4 * every / 5 + portion(2 * every / 5, draw);
-        self.held(weak, now, draw);
+    /// Applies a query that found an owner, and schedules the next one after those of other hosts.
+    fn owner_found(&mut self, undersized: Option<SocketAddr>, now: u64, draw: f64) {
+        let interval = self.candidate.interval();
+        self.query_at = now + 4 * interval / 5 + scale(2 * interval / 5, draw);
+        self.set_owned(undersized, now, draw);
     }
 
-    fn free(&mut self, told: bool, owned: usize, now: u64, draw: f64) {
-        self.weak = None;
-        self.told |= told;
-        if self.take.is_none() {
-            self.take = Some(now + self.place.wait(owned, draw));
+    fn set_free(&mut self, announced: bool, owned: usize, now: u64, draw: f64) {
+        self.undersized = None;
+        self.announced |= announced;
+        if self.join_at.is_none() {
+            self.join_at = Some(now + self.candidate.join_delay(owned, draw));
         }
     }
 
-    // News that all hosts hear must not move their looks, or none would come for a while after it.
-    fn held(&mut self, weak: Option<SocketAddr>, now: u64, draw: f64) {
-        (self.take, self.told, self.sure) = (None, false, false);
-        let asked = |at| Some((at, now + WEAK_FOR + portion(JITTER, draw)));
-        self.weak = match (weak, self.weak) {
-            (Some(at), Some((before, due))) if at == before => Some((at, due)),
-            (weak, _) => weak.and_then(asked),
+    // An announcement reaches all hosts, so it must not move their queries: none would be made for a while after it.
+    fn set_owned(&mut self, undersized: Option<SocketAddr>, now: u64, draw: f64) {
+        (self.join_at, self.announced, self.vacancy_seen) = (None, false, false);
+        let asked = |at| Some((at, now + RELIEVE_DELAY + scale(JITTER, draw)));
+        self.undersized = match (undersized, self.undersized) {
+            (Some(at), Some((before, query_at))) if at == before => Some((at, query_at)),
+            (undersized, _) => undersized.and_then(asked),
         };
     }
 }
 
-impl Place {
-    /// The mean time between two looks of this host.
-    pub fn every(&self) -> u64 {
-        let (spacing, least) =
-            if self.home { (SPACING, LOOK) } else { (SPACING_ABROAD, LOOK_ABROAD) };
+impl Candidate {
+    /// The mean time between two queries of this host, in milliseconds.
+    pub fn interval(&self) -> u64 {
+        let (spacing, least) = if self.local {
+            (QUERY_SPACING, MIN_INTERVAL)
+        } else {
+            (REMOTE_SPACING, REMOTE_INTERVAL)
+        };
         (spacing * self.hosts as u64).max(least)
     }
 
-    /// How long this host leaves a free cell to others.
-    fn wait(&self, owned: usize, draw: f64) -> u64 {
-        // Hosts that own a cell already leave the next one to others.
-        let wait = portion(JITTER, draw) + JITTER * owned as u64;
-        let weak = if self.strong { 0 } else { WEAK_WAIT };
-        let abroad = if self.home { 0 } else { ABROAD_WAIT };
-        wait + weak + abroad
+    /// How long this host delays its join to a free cell, in milliseconds.
+    fn join_delay(&self, owned: usize, draw: f64) -> u64 {
+        // Hosts that own cells leave the next one to others.
+        let join_delay = scale(JITTER, draw) + JITTER * owned as u64;
+        let undersized = if self.has_capacity { 0 } else { UNDERSIZED_DELAY };
+        let remote = if self.local { 0 } else { REMOTE_DELAY };
+        join_delay + undersized + remote
     }
 }
 
-/// A part of a time.
-fn portion(time: u64, draw: f64) -> u64 {
+/// Returns the fraction `draw` of a time.
+fn scale(time: u64, draw: f64) -> u64 {
     (time as f64 * draw) as u64
 }
--- a/crates/front/src/peers.rs
+++ b/crates/front/src/peers.rs
@@ -1,4 +1,4 @@
-//! Answers the calls of other front hosts.
+//! Serves the calls of other front hosts.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -13,25 +13,25 @@
 use crate::clock::{now, wall};
 use crate::host::Host;
 use crate::owned::Owned;
-use crate::takeover::read_on;
-use crate::{intake, unlogged};
+use crate::takeover::read_new;
+use crate::{handoff, intake};
 
-/// How long a host that passes a job on waits for the store.
-const PASS: Duration = Duration::from_millis(2_500);
+/// The longest time in which a job from another host is written.
+const WRITE_LIMIT: Duration = Duration::from_millis(2_500);
 
-/// What is kept of a passing host's time for the way back, so that it hears what came of its job.
-const WAY_BACK: Duration = Duration::from_millis(30);
+/// The part of the caller's time that is reserved for the reply.
+const REPLY_TIME: Duration = Duration::from_millis(30);
 
-/// How long a question waits for an owner that is still reading the log; less than its asker gives it.
-const LOADING: Duration = Duration::from_millis(500);
+/// How long a call waits for an owner that is still reading the log; shorter than the caller's limit.
+const LOAD_WAIT: Duration = Duration::from_millis(500);
 
-/// The time between two looks whether it has read the log.
-const LOOK: Duration = Duration::from_millis(20);
+/// The time between two checks whether the log has been read.
+const POLL: Duration = Duration::from_millis(20);
 
-/// How long the log may take to hold a cancellation.
-const CANCEL: Duration = Duration::from_millis(2_500);
+/// The longest wait until the log holds a cancellation.
+const CANCEL_LIMIT: Duration = Duration::from_millis(2_500);
 
-/// The service towards other front hosts.
+/// The service for other front hosts.
 #[derive(Debug, Clone)]
 pub struct Server(pub Arc<Host>);
 
@@ -50,12 +50,12 @@
 
     async fn pass(self, context: Context, cell: u32, job: JobId, record: Vec<u8>) -> Passed {
         let left = context.deadline.saturating_duration_since(Instant::now());
-        let limit = left.saturating_sub(WAY_BACK).min(PASS);
+        let limit = left.saturating_sub(REPLY_TIME).min(WRITE_LIMIT);
         intake::write_here(&self.0, cell, job, record, limit).await
     }
 
     async fn relieve(self, _: Context, cell: u32) {
-        self.0.ask_for(cell);
+        self.0.ask_release(cell);
     }
 
     async fn load(self, _: Context, cell: u32) -> Option<Load> {
@@ -63,11 +63,11 @@
     }
 
     async fn writes(self, _: Context, cell: u32) -> bool {
-        self.0.owned(cell).is_some_and(|owned| !owned.closed()) && !self.0.store_gone()
+        self.0.owned(cell).is_some_and(|owned| !owned.closed()) && !self.0.store_lost()
     }
 
     async fn ended(self, _: Context, cell: u32, fence: u64, ends: Vec<RunEnd>) -> bool {
-        unlogged::take(&self.0, cell, fence, &ends)
+        handoff::receive(&self.0, cell, fence, &ends)
     }
 
     async fn explain(self, _: Context, cell: u32, job: JobId) -> Vec<String> {
@@ -75,57 +75,57 @@
     }
 }
 
-/// What this host knows of a job, if it owns the cell.
+/// The state of a job, if this host owns the cell.
 pub async fn state(host: &Host, cell: u32, job: JobId) -> Seen {
     let Some(owned) = host.owned(cell).filter(|o| !o.closed()) else {
         return Seen::Elsewhere;
     };
-    if !loaded(&owned).await {
+    if !wait_loaded(&owned).await {
         return Seen::Elsewhere;
     }
-    if let Some(seen) = known(&owned, job) {
+    if let Some(seen) = in_memory(&owned, job) {
         return seen;
     }
-    if !current(host, &owned).await {
+    if !caught_up(host, &owned).await {
         return Seen::Elsewhere;
     }
-    known(&owned, job).unwrap_or(Seen::Unknown)
+    in_memory(&owned, job).unwrap_or(Seen::Unknown)
 }
 
-/// Whether an owner has read the log, which is waited for: before that it knows jobs, and not how far they have come.
-async fn loaded(owned: &Owned) -> bool {
+/// Waits until the owner has read the log, and returns whether it has; before that the progress of jobs is missing.
+async fn wait_loaded(owned: &Owned) -> bool {
     let read = async {
         while !owned.state().loaded {
-            sleep(LOOK).await;
+            sleep(POLL).await;
         }
     };
-    timeout(LOADING, read).await.is_ok()
+    timeout(LOAD_WAIT, read).await.is_ok()
 }
 
-/// What an owner has in memory of a job.
-fn known(owned: &Owned, job: JobId) -> Option<Seen> {
+/// The state of a job in the owner's memory.
+fn in_memory(owned: &Owned, job: JobId) -> Option<Seen> {
     let cell = owned.state();
     let moved = cell.moved(job).map(Seen::Moved);
     moved.or_else(|| cell.state(job).map(Seen::Job))
 }
 
-/// How full a cell is, if this host owns it.
+/// The load of a cell, if this host owns it.
 pub fn load(host: &Host, cell: u32) -> Option<Load> {
     let owned = host.owned(cell).filter(|o| !o.closed())?;
     let state = owned.state();
     state.loaded.then(|| state.load(now()))
 }
 
-/// Takes a job back, if this host owns the cell; answers once that is in the log.
+/// Cancels a job, if this host owns the cell; returns once the log holds that.
 pub async fn cancel(host: &Host, cell: u32, job: JobId) -> Seen {
     let Some(owned) = host.owned(cell).filter(|o| !o.closed()) else {
         return Seen::Elsewhere;
     };
-    if !loaded(&owned).await {
+    if !wait_loaded(&owned).await {
         return Seen::Elsewhere;
     }
     let known = owned.state().jobs.contains_key(&job);
-    if !known && !current(host, &owned).await {
+    if !known && !caught_up(host, &owned).await {
         return Seen::Elsewhere;
     }
     if let Some(to) = owned.state().moved(job) {
@@ -136,10 +136,10 @@
     if !known {
         owned.state().bar(job, now(), wall());
     }
-    owned.work.notify_one();
+    owned.wake.notify_one();
     let written = async {
         loop {
-            if let Some(seen) = taken_back(&owned, job) {
+            if let Some(seen) = logged_cancel(&owned, job) {
                 return Some(seen);
             }
             if commits.changed().await.is_err() || owned.deposed() {
@@ -147,14 +147,14 @@
             }
         }
     };
-    match timeout(CANCEL, written).await {
+    match timeout(CANCEL_LIMIT, written).await {
         Ok(Some(seen)) => seen,
         _ => Seen::Elsewhere,
     }
 }
 
-/// What a client may be told of a cancellation, once it is in the log.
-fn taken_back(owned: &Owned, job: JobId) -> Option<Seen> {
+/// The answer to a cancellation, once the log holds it.
+fn logged_cancel(owned: &Owned, job: JobId) -> Option<Seen> {
     let cell = owned.state();
     match cell.state(job) {
         Some(state) => state.over().then_some(Seen::Job(state)),
@@ -162,7 +162,7 @@
     }
 }
 
-/// How many jobs of each queue have not begun, if this host owns the cell.
+/// The number of pending jobs of each queue, if this host owns the cell.
 pub fn pending(host: &Host, cell: u32) -> Option<BTreeMap<String, u64>> {
     let owned = host.owned(cell).filter(|o| !o.closed())?;
     let state = owned.state();
@@ -172,10 +172,10 @@
     Some(state.pending().into_iter().map(|(queue, n)| (queue.to_string(), n)).collect())
 }
 
-/// Whether every job accepted before now has been read.
-async fn current(host: &Host, owned: &Owned) -> bool {
-    owned.state().loaded && read_on(host, owned, Duration::ZERO).await.is_ok() && {
-        // The owner may have been replaced without a word while it was cut off.
+/// Reads all jobs accepted before now; false if that failed or the ownership is in doubt.
+async fn caught_up(host: &Host, owned: &Owned) -> bool {
+    owned.state().loaded && read_new(host, owned, Duration::ZERO).await.is_ok() && {
+        // The owner may have been replaced unnoticed while it was cut off.
         !owned.closed() && owned.may_lease()
     }
 }
--- a/crates/front/src/roster.rs
+++ b/crates/front/src/roster.rs
@@ -12,28 +12,28 @@
 
 use myrtle_job::{Incarnation, Listing};
 
-use crate::apart::Apart;
 use crate::clock::now;
 use crate::host::Host;
 use crate::newest::newest;
 use crate::owned::Owned;
+use crate::unused::Unused;
 
-/// The time between two looks; workers write every second or so, and a wait would wake each time.
-const EVERY: Duration = Duration::from_millis(400);
+/// The time between two reads; workers write about once a second, so a waiting read would return each time.
+const READ_EVERY: Duration = Duration::from_millis(400);
 
-/// How long the store may take to answer.
-const LIMIT: Duration = Duration::from_millis(1_500);
+/// The time limit for a call to the store.
+const CALL_LIMIT: Duration = Duration::from_millis(1_500);
 
-/// Keeps the cell's workers up to date until the cell is another host's.
+/// Keeps the cell's workers up to date until the owner is closed.
 pub async fn follow(host: Arc<Host>, owned: Arc<Owned>) {
-    // Those that the log told of need not wait for the list, which may be slow to come.
-    hold_all(&host, &owned);
-    let mut list = List { host: &host, owned: &owned, apart: Apart::default() };
+    // Workers from the log are renewed at once, as the list may be slow to arrive.
+    renew_all(&host, &owned);
+    let mut list = List { host: &host, owned: &owned, unused: Unused::default() };
     let mut from = None;
     while !owned.closed() {
         let step = match from {
-            None => list.whole().await,
-            Some(at) => list.tail(at).await,
+            None => list.read_all().await,
+            Some(at) => list.read_next(at).await,
         };
         match step {
             Ok(next) => from = Some(next),
@@ -43,29 +43,29 @@
                 continue;
             }
             Err(e) => {
-                host.store_missed(&e);
+                host.store_failed(&e);
                 owned.state().list_missed(now());
             }
         }
-        list.take_named();
-        hold_all(&host, &owned);
-        sleep(EVERY).await;
+        list.use_named();
+        renew_all(&host, &owned);
+        sleep(READ_EVERY).await;
     }
 }
 
-/// The list as one owner follows it.
+/// The list of workers, as one owner reads it.
 struct List<'a> {
     host: &'a Host,
     owned: &'a Owned,
-    apart: Apart,
+    unused: Unused,
 }
 
 impl List<'_> {
-    /// Reads the whole list; workers that it does not show are unlisted.
-    async fn whole(&mut self) -> Result<u64, StoreError> {
+    /// Reads the whole list and unlists workers that are not in it; returns the next offset.
+    async fn read_all(&mut self) -> Result<u64, StoreError> {
         let mut listed = BTreeSet::new();
-        let end = newest(self.host, topics::WORKERS, 0, LIMIT, |item| {
-            if self.take(&item.key, &item.value, item.offset) {
+        let end = newest(self.host, topics::WORKERS, 0, CALL_LIMIT, |item| {
+            if self.apply(&item.key, &item.value, item.offset) {
                 listed.insert(item.key);
             }
         });
@@ -79,80 +79,82 @@
         Ok(end)
     }
 
-    /// Reads what has changed since the last look.
-    async fn tail(&mut self, from: u64) -> Result<u64, StoreError> {
-        let page = self.host.store.read(topics::WORKERS, 0, from, Duration::ZERO, LIMIT).await?;
+    /// Reads the changes from an offset; returns the next offset.
+    async fn read_next(&mut self, from: u64) -> Result<u64, StoreError> {
+        let page =
+            self.host.store.read(topics::WORKERS, 0, from, Duration::ZERO, CALL_LIMIT).await?;
         let next = from + page.records.len() as u64;
         for (offset, record) in (from..).zip(page.records) {
             match unframe_keyed(record) {
                 Ok(framed) if framed.value.is_empty() => {
-                    self.apart.forget(&framed.key);
+                    self.unused.forget(&framed.key);
                     self.owned.state().unlist(&framed.key, now());
                 }
-                Ok(framed) => drop(self.take(&framed.key, &framed.value, offset)),
+                Ok(framed) => drop(self.apply(&framed.key, &framed.value, offset)),
                 Err(e) => warn!("event=worker-unread reason=\"{e}\""),
             }
         }
         Ok(next)
     }
 
-    /// Takes in a description; true if it names a worker of the cell to use.
+    /// Applies an entry; true if it describes a worker of the cell that can be used.
     ///
-    /// Of a worker whose newest entry names none the runs go on and are heard of, but it gets nothing new, as
-    /// one that has left the list.
-    fn take(&mut self, id: &str, value: &[u8], offset: u64) -> bool {
+    /// A worker whose newest entry is invalid counts as unlisted: its runs continue and are tracked, but it gets no
+    /// new ones.
+    fn apply(&mut self, id: &str, value: &[u8], offset: u64) -> bool {
         let listing = match read_listing(value, offset) {
             Ok(listing) => listing,
             Err(e) => {
-                self.apart.refuse(id, &e);
+                self.unused.refuse(id, &e);
                 self.owned.state().unlist(id, now());
                 return false;
             }
         };
-        self.apart.forget(id);
+        self.unused.forget(id);
         let layout = self.host.layout();
-        let cell = layout.map(|l| l.cell_of(&listing.data_centre, number(listing.address)));
+        let cell =
+            layout.map(|l| l.worker_cell(&listing.data_centre, address_number(listing.address)));
         if cell != Some(self.owned.cell) {
             return false;
         }
         let known = self.owned.state().knows(id);
-        if !known && !named(self.host, &listing) {
-            self.apart.park(id, listing);
+        if !known && !is_named(self.host, &listing) {
+            self.unused.park(id, listing);
             return false;
         }
         self.owned.state().list(id, listing, now());
         true
     }
 
-    /// Takes in workers whose services the configuration has come to name.
-    fn take_named(&mut self) {
-        for (id, listing) in self.apart.unpark(|listing| named(self.host, listing)) {
+    /// Uses the parked workers whose services the configuration names by now.
+    fn use_named(&mut self) {
+        for (id, listing) in self.unused.unpark(|listing| is_named(self.host, listing)) {
             self.owned.state().list(&id, listing, now());
         }
     }
 }
 
-/// Whether the configuration names a worker's service, or is not known.
-fn named(host: &Host, listing: &Listing) -> bool {
+/// Whether the configuration names a worker's service; true without a configuration.
+fn is_named(host: &Host, listing: &Listing) -> bool {
     host.configuration().is_none_or(|c| c.names(&listing.service))
 }
 
-/// Starts to hold workers that are not held yet.
-pub fn hold_all(host: &Arc<Host>, owned: &Arc<Owned>) {
-    let lives: Vec<Incarnation> = {
+/// Starts lease renewal of workers that need it and don't have it yet.
+pub fn renew_all(host: &Arc<Host>, owned: &Arc<Owned>) {
+    let incarnations: Vec<Incarnation> = {
         let cell = owned.state();
         cell.workers.iter().filter(|(_, w)| w.wants_hold()).map(|(id, _)| id.clone()).collect()
     };
-    for life in lives {
-        if owned.hold(&life) {
+    for incarnation in incarnations {
+        if owned.start_renewal(&incarnation) {
             let (host, owned) = (host.clone(), owned.clone());
-            tokio::spawn(async move { crate::hold::keep(host, owned, life).await });
+            tokio::spawn(async move { crate::renewal::run(host, owned, incarnation).await });
         }
     }
 }
 
-/// A worker's address as a number; it stays the same over its lives.
-fn number(address: SocketAddr) -> u64 {
+/// A worker's address as a number, which is the same for all its incarnations.
+fn address_number(address: SocketAddr) -> u64 {
     let ip = match address.ip() {
         IpAddr::V4(ip) => u64::from(ip.to_bits()),
         IpAddr::V6(ip) => ip.to_bits() as u64,
--- a/crates/front/src/run.rs
+++ b/crates/front/src/run.rs
@@ -1,4 +1,4 @@
-//! Starts all parts of a front host and stops it as planned.
+//! Starts all tasks of a front host and stops them in order.
 
 use std::path::PathBuf;
 use std::sync::Arc;
@@ -15,22 +15,26 @@
 
 use crate::host::Host;
 use crate::layout::Layout;
-use crate::ownership::{self, lookout, member};
+use crate::ownership::{self, member, monitor};
 use crate::peers::Server;
 use crate::settings::Settings;
 use crate::{discover, intake, listen, operator};
 
-/// How long new connections still come after a host says that it is not ready: two checks of a
-/// second each, and some.
-const NOTICED: Duration = Duration::from_millis(2_300);
+/// How long new connections still arrive after the host reports that it is not ready: two checks of a second each plus
+/// a margin.
+const DRAIN_TIME: Duration = Duration::from_millis(2_300);
 
-/// The time between two lines on calls to the store.
-const TELL_EVERY: Duration = Duration::from_secs(30);
+/// The time between two log lines on calls to the store.
+const LOG_EVERY: Duration = Duration::from_secs(30);
 
-/// What is kept of the time before the end by force.
-const SPARE: Duration = Duration::from_millis(700);
+/// The margin before the process would be killed.
+const KILL_MARGIN: Duration = Duration::from_millis(700);
 
-/// Runs a front host until it is told to stop.
+/// Runs a front host until SIGTERM.
+///
+/// # Errors
+///
+/// Fails if an address can't be bound or a signal handler can't be installed.
 pub async fn run(settings: Settings, path: PathBuf) -> std::io::Result<()> {
     crate::clock::now();
     let clients = TcpListener::bind(settings.clients).await?;
@@ -59,33 +63,33 @@
     tokio::spawn(answer_peers(host.clone(), peers));
     tokio::spawn(serve_cells(host.clone()));
     tokio::spawn(reload(path));
-    tokio::spawn(tell_calls(host.clone()));
+    tokio::spawn(log_calls(host.clone()));
     signal(SignalKind::terminate())?.recv().await;
     stop(&host, &closing, &tracker).await;
     Ok(())
 }
 
-/// Takes jobs for every cell, and takes part in owning those that it may.
+/// Accepts jobs for every cell and monitors the ownership of each.
 async fn serve_cells(host: Arc<Host>) {
-    let layout = host.lay_out(discover::find(&host).await);
+    let layout = host.set_layout(discover::find(&host).await);
     for cell in 0..layout.count() {
         tokio::spawn(intake::run(host.clone(), cell));
-        tokio::spawn(lookout::run(host.clone(), cell));
+        tokio::spawn(monitor::run(host.clone(), cell));
     }
     ownership::follow(host).await;
 }
 
-/// Writes how often the store was called into the log, by kind.
-async fn tell_calls(host: Arc<Host>) {
+/// Logs the number and size of calls to the store, by kind.
+async fn log_calls(host: Arc<Host>) {
     loop {
-        sleep(TELL_EVERY).await;
+        sleep(LOG_EVERY).await;
         for (kind, sum) in host.store.tally().sums() {
             info!("event=store-calls kind=\"{kind}\" calls={} bytes={}", sum.calls, sum.bytes);
         }
     }
 }
 
-/// Answers the calls of other front hosts.
+/// Serves calls of other front hosts.
 async fn answer_peers(host: Arc<Host>, listener: TcpListener) {
     let run = |channel: Wired<FrontPeerRequest, FrontPeerResponse>| {
         myrtle_peer::run!(channel, Server(host.clone()).serve());
@@ -93,10 +97,10 @@
     myrtle_peer::listen(listener, run).await;
 }
 
-/// Says what a changed settings file holds; the figures in force stay until the next start.
+/// Checks the settings file on SIGHUP; the settings in force stay until the next start.
 async fn reload(path: PathBuf) {
     let Ok(mut signals) = signal(SignalKind::hangup()) else {
-        warn!("event=no-reload reason=\"the signal can't be taken\"");
+        warn!("event=no-reload reason=\"the handler of SIGHUP can't be installed\"");
         return;
     };
     while signals.recv().await.is_some() {
@@ -107,23 +111,23 @@
     }
 }
 
-/// Hands cells over, lets clients finish, and ends before it is ended by force.
+/// Releases cells and lets clients finish, all before the process would be killed.
 async fn stop(host: &Arc<Host>, closing: &CancellationToken, tracker: &TaskTracker) {
     info!("event=stop open={}", tracker.len());
     host.stop();
-    let grace = host.settings.grace().saturating_sub(SPARE);
+    let grace = host.settings.grace().saturating_sub(KILL_MARGIN);
     let end = tokio::time::Instant::now() + grace;
     for cell in 0..host.layout().map_or(0, Layout::count) {
         member::hand_over(host, cell, "the host stops").await;
     }
-    sleep(NOTICED).await;
+    sleep(DRAIN_TIME).await;
     closing.cancel();
     tracker.close();
-    host.handing_on.close();
+    host.successor_calls.close();
     let left = end.saturating_duration_since(tokio::time::Instant::now());
-    let finish = async { tokio::join!(tracker.wait(), host.handing_on.wait()) };
+    let finish = async { tokio::join!(tracker.wait(), host.successor_calls.wait()) };
     let finished = timeout(left, finish).await.is_ok();
     info!("event=stopped finished={finished}");
-    // The last lines go out by a thread of their own.
+    // A separate thread writes the last log lines.
     sleep(Duration::from_millis(50)).await;
 }
--- a/crates/front/src/settings.rs
+++ b/crates/front/src/settings.rs
@@ -1,4 +1,4 @@
-//! The settings of a front host, in YAML.
+//! The settings file of a front host, in YAML.
 
 use std::net::{IpAddr, SocketAddr};
 use std::path::Path;
@@ -11,92 +11,95 @@
 
 use crate::capacity::Capacity;
 
-/// The partitions of a topic where the settings name none.
-const USUAL_PARTS: usize = 24;
+/// The number of partitions of a topic if the settings name none.
+const DEFAULT_PARTITIONS: usize = 24;
 
-/// The largest cell of a host that does not tell what it has, in workers: one of 0.12 cores and a
-/// link of 10 megabits a second carries as many.
-const USUAL_CELL: usize = 110;
+/// The capacity of a host whose settings name none, in workers: that of 0.12 cores and a link of 10 megabits a second.
+const DEFAULT_WORKERS: usize = 110;
 
-/// What a front host needs to know before it can ask anybody.
+/// The settings that a front host needs before it can reach the store.
 #[derive(Debug, Clone, Deserialize)]
 pub struct Settings {
     /// The host's name.
     pub name: String,
-    /// Its data centre.
+    /// The host's data centre.
     pub data_centre: String,
     /// Every data centre of the deployment.
     pub data_centres: Vec<String>,
-    /// Where clients connect.
+    /// The address for clients.
     pub clients: SocketAddr,
-    /// Where readiness is asked for.
+    /// The address for readiness checks.
     pub checks: SocketAddr,
     /// The host's address.
     pub ip: IpAddr,
     /// The first of the ports that are free for traffic between hosts.
     pub peer_port: u16,
-    /// Where metrics are told, if anywhere.
+    /// The address for readers of metrics, if there is one.
     #[serde(default)]
     pub metrics: Option<SocketAddr>,
-    /// The platform's store.
+    /// The address of the platform's store.
     pub store: SocketAddr,
-    /// The shortest time after which the store gives a silent member up, in milliseconds.
+    /// The shortest time to live of a group membership that the store allows, in milliseconds.
     pub member_ttl: u64,
-    /// The service that gives out tickets, if there is one.
+    /// The address of the ticket service, if there is one.
     #[serde(default)]
     pub tickets: Option<SocketAddr>,
-    /// The service that keeps up machines, if there is one.
+    /// The address of the machine service, if there is one.
     #[serde(default)]
     pub machines: Option<SocketAddr>,
-    /// How workers form cells.
+    /// How workers are divided into cells.
     #[serde(default)]
     pub cells: Cells,
-    /// How many partitions a topic of the store may have; each cell has one of its own.
-    #[serde(default = "usual_parts")]
+    /// The number of partitions that a topic of the store may have; each cell uses its own.
+    #[serde(default = "default_partitions")]
     pub parts: usize,
-    /// What the host has, if that is told.
+    /// The host's processors and link, if they are given.
     #[serde(default)]
     pub capacity: Option<Capacity>,
-    /// The deployment's figures.
+    /// The deployment's time limits.
     pub bounds: Figures,
 }
 
-/// How workers form cells, each with an owner of its own.
+/// How workers are divided into cells.
 #[derive(Debug, Default, Clone, Copy, PartialEq, Eq, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Cells {
-    /// As many as the workers listed at the first start call for.
+    /// As few cells as the hosts at the first start can own.
     #[default]
     Auto,
-    /// One of all workers.
+    /// One cell for all workers.
     One,
-    /// One or more of each data centre.
+    /// One or more cells for each data centre.
     DataCentre,
 }
 
-/// The deployment's figures, in the units that the platform tells them in.
+/// The deployment's time limits, in the units that the platform uses.
 #[derive(Debug, Clone, Deserialize)]
 pub struct Figures {
     /// The longest lease of a worker, in milliseconds.
     pub hold: u64,
     /// The longest stop of a run, in milliseconds.
     pub stop: u64,
-    /// How long a serving task may be over its target, in milliseconds.
+    /// The longest time that a serving task may exceed its latency target, in milliseconds.
     pub harm: u64,
     /// How long a job's state is kept, in seconds.
     pub status: f64,
-    /// The time between the order to stop and the end by force, in seconds.
+    /// The time between the signal to stop and the kill, in seconds.
     pub grace: f64,
-    /// The time after which a host that lost the store counts as out of touch, in milliseconds.
+    /// The time without a good answer of the store after which a host counts as out of contact, in milliseconds.
     pub contact: u64,
 }
 
-fn usual_parts() -> usize {
-    USUAL_PARTS
+fn default_partitions() -> usize {
+    DEFAULT_PARTITIONS
 }
 
 impl Settings {
     /// Reads and checks a settings file.
+    ///
+    /// # Errors
+    ///
+    /// Fails if the file can't be read or parsed, or if a setting is invalid.
     pub fn load(path: &Path) -> Result<Self, Fault> {
         let (settings, text): (Settings, String) = read_file(path)?;
         let file = path.display().to_string();
@@ -120,23 +123,28 @@
         Ok(settings)
     }
 
-    /// The largest cell that this host can own, in workers.
-    pub fn carries(&self) -> usize {
-        self.capacity.map_or(USUAL_CELL, |c| c.workers())
+    /// The host's capacity, in workers.
+    pub fn max_workers(&self) -> usize {
+        self.capacity.map_or(DEFAULT_WORKERS, |c| c.workers())
     }
 
-    /// Where peers connect.
+    /// The address for peers.
     pub fn peer(&self) -> SocketAddr {
         SocketAddr::new(self.ip, self.peer_port)
     }
 
-    /// What binds an owner.
+    /// The time limits of an owner.
     pub fn owner_bounds(&self) -> Bounds {
-        let f = &self.bounds;
-        Bounds { hold: f.hold, stop: f.stop, harm: f.harm, status: (f.status * 1000.0) as u64 }
+        let figures = &self.bounds;
+        Bounds {
+            hold: figures.hold,
+            stop: figures.stop,
+            harm: figures.harm,
+            status: (figures.status * 1000.0) as u64,
+        }
     }
 
-    /// The time between the order to stop and the end by force.
+    /// The time between the signal to stop and the kill.
     pub fn grace(&self) -> Duration {
         Duration::try_from_secs_f64(self.bounds.grace).unwrap_or_default()
     }
--- a/crates/front/src/survey.rs
+++ b/crates/front/src/survey.rs
@@ -1,75 +1,75 @@
-//! When a new deployment knows enough of itself to cut its cells, and which hosts find that out.
+//! When a new deployment has seen enough hosts and workers to compute its layout, and which hosts count them.
 //!
-//! Load pattern: every host of a fleet starts at once and knows no other. Whatever all of them read of all hosts or
-//! of all workers grows as the square of the fleet. So the first few of the strongest class that announce themselves
-//! read both lists, and others only after a while without cells; a host learns its place from the answer to its
-//! announcement, without reading anything.
+//! Load pattern: all hosts of a fleet start at once without knowledge of the others. If each of them read the lists
+//! of all hosts and workers, the reads would grow as the square of the fleet. So only the first few announced hosts
+//! of the class with the most capacity read both lists, and others only after a while without a layout; a host gets
+//! its rank from the answer to its announcement, without a read.
 
 use std::collections::BTreeMap;
 
-use crate::fleet::{Announced, Fleet};
+use crate::fleet::{Announcement, Fleet};
 use crate::layout::Layout;
 use crate::settings::Cells;
 
-/// How many hosts count the workers at first; one is enough, others are there if it is lost.
-const COUNTERS: usize = 3;
+/// The number of hosts that count at first; one is enough, and the others stand in if it is lost.
+const FIRST_COUNTERS: usize = 3;
 
-/// Looks without cells after which twice as many hosts count: 2.8 s.
-pub const DOUBLED: u32 = 4;
+/// The rounds without a layout after which the number of counting hosts doubles: 2.8 s.
+pub const DOUBLE_EVERY: u32 = 4;
 
-/// Looks in a row that show the same hosts before they count as all: hosts start within a second.
+/// The number of repeated counts that must show the same hosts; all hosts start within a second.
 const STEADY_HOSTS: u32 = 2;
 
-/// Looks in a row that show the same workers.
+/// The number of repeated counts that must show the same workers.
 const STEADY_WORKERS: u32 = 1;
 
-/// Looks at lists that do not settle, or show no workers, before they are believed: six seconds.
-const PATIENCE: u32 = 8;
+/// The number of counts after which unsteady lists, or lists without workers, are used: six seconds.
+const MAX_COUNTS: u32 = 8;
 
-/// What a host has seen of a fleet whose cells are not known yet.
+/// A host's counts of a fleet without a layout.
 #[derive(Debug, Default)]
 pub struct Survey {
     fleet: Fleet,
-    looks: u32,
+    rounds: u32,
     counts: u32,
     steady_hosts: u32,
     steady_workers: u32,
 }
 
 impl Survey {
-    /// Takes in that the time of so many looks has passed without cells.
-    pub fn pass(&mut self, looks: u32) {
-        self.looks += looks;
+    /// Adds rounds that passed without a layout.
+    pub fn add_rounds(&mut self, rounds: u32) {
+        self.rounds += rounds;
     }
 
-    /// How many hosts count the workers by now: the first ones of the strongest class.
+    /// The number of hosts that count by now, from the class with the most capacity down.
     pub fn counters(&self) -> usize {
-        COUNTERS << (self.looks / DOUBLED).min(usize::BITS / 2)
+        FIRST_COUNTERS << (self.rounds / DOUBLE_EVERY).min(usize::BITS / 2)
     }
 
-    /// Takes in the hosts that are known now.
-    pub fn hosts(&mut self, hosts: BTreeMap<String, Announced>) {
+    /// Sets the hosts that are announced now.
+    pub fn hosts(&mut self, hosts: BTreeMap<String, Announcement>) {
         self.steady_hosts = if hosts == self.fleet.hosts { self.steady_hosts + 1 } else { 0 };
         self.fleet.hosts = hosts;
     }
 
-    /// Takes in how many workers each data centre has now; the cells, if that is enough to cut them.
+    /// Sets the number of workers of each data centre; returns the layout if the counts are steady.
     pub fn workers(
         &mut self,
         workers: BTreeMap<String, usize>,
         cells: Cells,
-        parts: usize,
+        partitions: usize,
     ) -> Option<Layout> {
         self.counts += 1;
         let same = workers == self.fleet.workers;
         self.steady_workers = if same { self.steady_workers + 1 } else { 0 };
         self.fleet.workers = workers;
         let settled = self.steady_hosts >= STEADY_HOSTS && self.steady_workers >= STEADY_WORKERS;
-        let known = !self.fleet.workers.is_empty() && settled;
-        (known || self.counts > PATIENCE).then(|| self.fleet.layout(cells, parts))
+        let usable = !self.fleet.workers.is_empty() && settled;
+        (usable || self.counts > MAX_COUNTS).then(|| self.fleet.layout(cells, partitions))
     }
 
-    /// The fleet as it was last seen.
+    /// The fleet as last counted.
     pub fn fleet(&self) -> &Fleet {
         &self.fleet
     }
