--- a/crates/front/src/takeover.rs
+++ b/crates/front/src/takeover.rs
@@ -1,4 +1,4 @@
-//! Takes a cell over: bars earlier owners, reads the log, then acts.
+//! Takes over a cell: fences earlier owners, reads the log, then starts the owner's tasks.
 
 use std::sync::Arc;
 use std::sync::atomic::Ordering;
@@ -14,176 +14,177 @@
 
 use crate::clock::{now, wall};
 use crate::host::Host;
-use crate::names::{JOBS, OWNER, PROGRESS, owner_key, owner_of, worker_of};
+use crate::names::{JOBS, OWNER_WRITER, PROGRESS, owner_key, parse_owner, parse_worker};
 use crate::newest::newest;
 use crate::owned::Owned;
-use crate::{balance, flush, hold, lessons, operator, roster, tick, upkeep};
+use crate::{balance, flush, learned, maintenance, operator, renewal, roster, tick};
 
-/// How long the store may take for an append or a page during a takeover.
-const LIMIT: Duration = Duration::from_millis(2_000);
+/// The time limit for an append or a page during a takeover.
+const CALL_LIMIT: Duration = Duration::from_millis(2_000);
 
-/// The pause after a call that failed.
-const PAUSE: Duration = Duration::from_millis(60);
+/// The pause after a failed call.
+const RETRY_PAUSE: Duration = Duration::from_millis(60);
 
-/// Records that are taken in before the host's other parts get a turn: a weak host reads a large cell
-/// for 2 s, and its membership lapses after 1.6 s without a renewal.
-const AT_ONCE: usize = 32;
+/// The number of records applied between two yields to other tasks: a slow host reads a large cell for 2 s, and its
+/// membership lapses after 1.6 s without a renewal.
+const YIELD_EVERY: usize = 32;
 
 /// How long a read waits for accepted jobs.
-const WAIT: Duration = Duration::from_millis(2_000);
+const READ_WAIT: Duration = Duration::from_millis(2_000);
 
-/// What an answer may take beyond that.
-const BEYOND: Duration = Duration::from_millis(700);
+/// The time allowed for the reply to a waiting read beyond its wait.
+const REPLY_MARGIN: Duration = Duration::from_millis(700);
 
-/// The numbers of an owner's first appends.
-const BAR: u64 = 0;
-const CLAIM: u64 = 1;
+/// The call numbers of an owner's first appends.
+const FENCE_APPEND: u64 = 0;
+const LEASE_APPEND: u64 = 1;
 
-/// The number of an owner's first batch.
+/// The call number of an owner's first batch.
 pub const FIRST_BATCH: u64 = 2;
 
-/// Begins to own a cell, which the store confirmed at a moment; its parts run until it is closed.
+/// Starts to own a cell, confirmed by the store at a time; its tasks run until the owner is closed.
 pub fn begin(host: &Arc<Host>, cell: u32, fence: u64, confirmed: u64) -> Arc<Owned> {
     info!("event=owner-begins cell={cell} fence={fence}");
     let mut state = Cell::new(host.settings.owner_bounds(), fence, now());
     state.number = cell;
-    host.directory.end(cell, fence, state.began + hold::ttl(host));
+    host.directory.note_end(cell, fence, state.began + renewal::ttl(host));
     state.ended = host.directory.ended(cell);
     state.alone = host.layout().is_none_or(|layout| layout.count() < 2);
-    let owned = Arc::new(Owned::new(cell, fence, state, confirmed, hold::ttl(host)));
+    let owned = Arc::new(Owned::new(cell, fence, state, confirmed, renewal::ttl(host)));
     host.own(cell, owned.clone());
-    // After it is known as owned, so that nothing that comes meanwhile is missed.
-    operator::empty(host, &owned);
-    tokio::spawn(take(host.clone(), owned.clone()));
+    // Only once the cell is listed as owned, so that no change in between is missed.
+    operator::evacuate(host, &owned);
+    tokio::spawn(take_over(host.clone(), owned.clone()));
     owned
 }
 
-/// Takes the cell over and acts for it until it is closed.
-async fn take(host: Arc<Host>, owned: Arc<Owned>) {
-    let began = now();
-    if !bar(&host, &owned).await {
+/// Takes over the cell and acts for it until the owner is closed.
+async fn take_over(host: Arc<Host>, owned: Arc<Owned>) {
+    let started = now();
+    if !fence_earlier(&host, &owned).await {
         return;
     }
     while !owned.closed() {
         match load(&host, &owned).await {
             Ok(()) => break,
             Err(e) => {
-                host.store_missed(&e);
-                sleep(PAUSE).await;
+                host.store_failed(&e);
+                sleep(RETRY_PAUSE).await;
             }
         }
     }
-    if owned.closed() || !claim(&host, &owned).await {
+    if owned.closed() || !mark_leasing(&host, &owned).await {
         return;
     }
-    lessons::recall(&host, &owned).await;
-    operator_known(&host).await;
+    learned::load(&host, &owned).await;
+    wait_operator(&host).await;
     let jobs = {
         let mut cell = owned.state();
         cell.loaded = true;
         cell.jobs.len()
     };
-    info!("event=owner-loaded cell={} jobs={jobs} took_ms={}", owned.cell, now() - began);
-    // Workers are asked only now: what they tell makes no sense before the jobs are known.
+    info!("event=owner-loaded cell={} jobs={jobs} took_ms={}", owned.cell, now() - started);
+    // Workers are called only now, as their reports can't be applied before the jobs are loaded.
     tokio::spawn(roster::follow(host.clone(), owned.clone()));
     tokio::spawn(flush::run(host.clone(), owned.clone()));
     tokio::spawn(tick::run(owned.clone()));
     tokio::spawn(balance::run(host.clone(), owned.clone()));
     let inherited = owned.state().deliveries();
     balance::deliver_all(&host, &owned, inherited);
-    tokio::spawn(lessons::run(host.clone(), owned.clone()));
-    tokio::spawn(upkeep::run(host.clone(), owned.clone()));
-    tail(host, owned).await;
+    tokio::spawn(learned::run(host.clone(), owned.clone()));
+    tokio::spawn(maintenance::run(host.clone(), owned.clone()));
+    follow_jobs(host, owned).await;
 }
 
-/// Waits until the operator's records have been read, so that nothing starts in a data centre that is being
-/// emptied; a host that cannot read them for so long is not in touch.
-async fn operator_known(host: &Host) {
+/// Waits until the operator's records have been read, so that nothing starts in an evacuated data centre; ends when a
+/// host without them counts as out of contact.
+async fn wait_operator(host: &Host) {
     let end = now() + host.settings.bounds.contact;
-    while !host.emptied.known() && now() < end {
-        sleep(PAUSE).await;
+    while !host.evacuated.loaded() && now() < end {
+        sleep(RETRY_PAUSE).await;
     }
 }
 
-/// Bars every earlier owner from the log; false if a later one has come.
-async fn bar(host: &Host, owned: &Owned) -> bool {
-    // A record without a value: whoever ends before it has read the log has given no lease out, and is not waited for.
-    write(host, owned, BAR, &[]).await
+/// Fences every earlier owner off the log; false if there is a later one.
+async fn fence_earlier(host: &Host, owned: &Owned) -> bool {
+    // The record has no value, as an owner that ends before it has read the log granted no lease and is not waited for.
+    write_owner(host, owned, FENCE_APPEND, &[]).await
 }
 
-/// Tells later owners that this one may have given leases out; false if one has come.
-async fn claim(host: &Host, owned: &Owned) -> bool {
-    write(host, owned, CLAIM, &encode(&owned.fence)).await
+/// Records for successors that this owner may have granted leases; false if there is a later owner.
+async fn mark_leasing(host: &Host, owned: &Owned) -> bool {
+    write_owner(host, owned, LEASE_APPEND, &encode(&owned.fence)).await
 }
 
-/// Writes this owner's record until the log holds it; false if a later one has come.
-async fn write(host: &Host, owned: &Owned, number: u64, record: &[u8]) -> bool {
+/// Writes this owner's record until the log holds it; false if there is a later owner.
+async fn write_owner(host: &Host, owned: &Owned, number: u64, record: &[u8]) -> bool {
     let mut body = BytesMut::new();
     frame_keyed(&mut body, &owner_key(owned.fence), record);
     let body = body.freeze();
     while !owned.closed() {
-        let writer = Writer { name: OWNER, epoch: owned.fence, number };
-        let done = host.store.append(PROGRESS, owned.cell, Some(writer), body.clone(), LIMIT).await;
+        let writer = Writer { name: OWNER_WRITER, epoch: owned.fence, number };
+        let done =
+            host.store.append(PROGRESS, owned.cell, Some(writer), body.clone(), CALL_LIMIT).await;
         match done {
             Ok(_) => return true,
             Err(StoreError::Fenced) => owned.depose("the log"),
             Err(e) => {
-                host.store_missed(&e);
-                sleep(PAUSE).await;
+                host.store_failed(&e);
+                sleep(RETRY_PAUSE).await;
             }
         }
     }
     false
 }
 
-/// What the log holds of how far jobs have come.
+/// The log's records of progress, workers and owners.
 #[derive(Debug, Default)]
-struct Read {
+struct ReadProgress {
     progress: Vec<(JobId, Progress)>,
-    /// What earlier owners wrote of workers.
+    /// The descriptions of workers by earlier owners.
     workers: Vec<(Incarnation, Vec<u8>)>,
-    /// Jobs whose progress makes no sense, with the reason.
-    unread: Vec<(JobId, String)>,
+    /// Jobs whose progress can't be decoded, with the reason.
+    unreadable: Vec<(JobId, String)>,
 }
 
-/// Reads the jobs of the cell and how far they have come.
+/// Reads the cell's jobs and their progress into the owner's state.
 async fn load(host: &Host, owned: &Owned) -> Result<(), StoreError> {
-    let read = progress(host, owned).await?;
-    let (jobs, end) = jobs(host, owned.cell).await?;
+    let read = read_progress(host, owned).await?;
+    let (jobs, end) = read_jobs(host, owned.cell).await?;
     for (count, (key, value)) in jobs.iter().enumerate() {
-        breathe(count).await;
+        yield_turn(count).await;
         admit(host, owned, *key, value);
     }
-    // Some are of jobs that were taken back before they were known.
-    for (id, why) in read.unread {
+    // Some of these jobs may have been cancelled before they were accepted.
+    for (id, why) in read.unreadable {
         owned.state().withhold(id, &why);
     }
     for (count, (id, progress)) in read.progress.into_iter().enumerate() {
-        breathe(count).await;
+        yield_turn(count).await;
         owned.state().inherit(id, progress, now());
     }
-    // The progress that was read may tell of some of the parts that are in the log, or of none.
+    // The progress may already contain some of the transfers in the log, so they come after it.
     let parts = jobs.iter().filter(|(key, _)| !matches!(key, Key::Job(_)));
     parts.for_each(|(key, value)| admit(host, owned, *key, value));
-    owned.read.store(end, Ordering::Relaxed);
+    owned.next_offset.store(end, Ordering::Relaxed);
     Ok(())
 }
 
-/// Lets the host's other parts have a turn between records.
-async fn breathe(count: usize) {
-    if count.is_multiple_of(AT_ONCE) {
+/// Yields to other tasks at every `YIELD_EVERY`th record.
+async fn yield_turn(count: usize) {
+    if count.is_multiple_of(YIELD_EVERY) {
         tokio::task::yield_now().await;
     }
 }
 
-/// How far jobs have come; workers that were given work are taken in at once.
-async fn progress(host: &Host, owned: &Owned) -> Result<Read, StoreError> {
-    let mut read = Read::default();
+/// Reads the progress of jobs; restores the workers that were given work.
+async fn read_progress(host: &Host, owned: &Owned) -> Result<ReadProgress, StoreError> {
+    let mut read = ReadProgress::default();
     let take = |Item { key, value, .. }| {
-        if let Some(life) = worker_of(&key) {
-            return read.workers.push((life, value));
+        if let Some(incarnation) = parse_worker(&key) {
+            return read.workers.push((incarnation, value));
         }
-        if let Some(fence) = owner_of(&key) {
+        if let Some(fence) = parse_owner(&key) {
             return owned.state().note_owner(fence);
         }
         let Ok(id) = key.parse::<JobId>() else {
@@ -191,26 +192,26 @@
         };
         match Progress::read(&value) {
             Ok(progress) => read.progress.push((id, progress)),
-            Err(e) => read.unread.push((id, e.to_string())),
+            Err(e) => read.unreadable.push((id, e.to_string())),
         }
     };
-    newest(host, PROGRESS, owned.cell, LIMIT, take).await?;
-    // Only now are all earlier owners known.
-    read.workers.iter().for_each(|(life, value)| recall(owned, life, value));
+    newest(host, PROGRESS, owned.cell, CALL_LIMIT, take).await?;
+    // Workers are restored last, once all earlier owners have been read.
+    read.workers.iter().for_each(|(incarnation, value)| restore_worker(owned, incarnation, value));
     Ok(read)
 }
 
-/// Takes in where a worker is that was given work.
-fn recall(owned: &Owned, life: &Incarnation, value: &[u8]) {
-    if let Err(e) = owned.state().recall_worker(life, value, now()) {
-        warn!("event=trace-unread worker={life} reason=\"{e}\"");
+/// Restores a worker that was given work.
+fn restore_worker(owned: &Owned, incarnation: &Incarnation, value: &[u8]) {
+    if let Err(e) = owned.state().recall_worker(incarnation, value, now()) {
+        warn!("event=trace-unread worker={incarnation} reason=\"{e}\"");
     }
 }
 
-/// All that is in the log of a cell's jobs, and the offset from which to go on.
-async fn jobs(host: &Host, cell: u32) -> Result<(Vec<(Key, Vec<u8>)>, u64), StoreError> {
+/// Reads all records of a cell's jobs, and the offset at which to continue.
+async fn read_jobs(host: &Host, cell: u32) -> Result<(Vec<(Key, Vec<u8>)>, u64), StoreError> {
     let mut found = Vec::new();
-    let end = newest(host, JOBS, cell, LIMIT, |item| match item.key.parse() {
+    let end = newest(host, JOBS, cell, CALL_LIMIT, |item| match item.key.parse() {
         Ok(key) => found.push((key, item.value)),
         Err(e) => warn!("event=record-unread topic={JOBS} reason=\"{e}\""),
     });
@@ -218,33 +219,37 @@
     Ok((found, end))
 }
 
-/// Reads accepted jobs as they come, until the cell is another host's.
-async fn tail(host: Arc<Host>, owned: Arc<Owned>) {
+/// Follows accepted jobs until the owner is closed.
+async fn follow_jobs(host: Arc<Host>, owned: Arc<Owned>) {
     while !owned.closed() {
-        match read_on(&host, &owned, WAIT).await {
+        match read_new(&host, &owned, READ_WAIT).await {
             Ok(()) => host.store_reached(),
             Err(StoreError::Gone { first }) => {
                 warn!("event=job-log-cut cell={} first={first}", owned.cell);
-                match jobs(&host, owned.cell).await {
+                match read_jobs(&host, owned.cell).await {
                     Ok((jobs, end)) => {
                         jobs.iter().for_each(|(key, value)| admit(&host, &owned, *key, value));
-                        owned.read.store(end, Ordering::Relaxed);
+                        owned.next_offset.store(end, Ordering::Relaxed);
                     }
-                    Err(e) => host.store_missed(&e),
+                    Err(e) => host.store_failed(&e),
                 }
             }
             Err(e) => {
-                host.store_missed(&e);
-                sleep(PAUSE).await;
+                host.store_failed(&e);
+                sleep(RETRY_PAUSE).await;
             }
         }
     }
 }
 
-/// Reads accepted jobs once; waits for one if there is none.
-pub async fn read_on(host: &Host, owned: &Owned, wait: Duration) -> Result<(), StoreError> {
-    let from = owned.read.load(Ordering::Relaxed);
-    let page = host.store.read(JOBS, owned.cell, from, wait, wait + BEYOND).await?;
+/// Reads new accepted jobs once, and waits up to `wait` if there are none.
+///
+/// # Errors
+///
+/// Fails if the store does not return the page.
+pub async fn read_new(host: &Host, owned: &Owned, wait: Duration) -> Result<(), StoreError> {
+    let from = owned.next_offset.load(Ordering::Relaxed);
+    let page = host.store.read(JOBS, owned.cell, from, wait, wait + REPLY_MARGIN).await?;
     let next = from + page.records.len() as u64;
     let any = !page.records.is_empty();
     for record in page.records {
@@ -256,14 +261,14 @@
             Err(e) => warn!("event=job-unread reason=\"{e}\""),
         }
     }
-    owned.read.fetch_max(next, Ordering::Relaxed);
+    owned.next_offset.fetch_max(next, Ordering::Relaxed);
     if any {
-        owned.work.notify_one();
+        owned.wake.notify_one();
     }
     Ok(())
 }
 
-/// Takes in an accepted job, or what another cell hands on of one.
+/// Applies an accepted job, an incoming transfer, or its recall.
 fn admit(host: &Host, owned: &Owned, key: Key, value: &[u8]) {
     if value.is_empty() {
         return;
@@ -273,7 +278,7 @@
             let mut cell = owned.state();
             cell.admit(id, submission, now(), wall());
             if let Some(layout) = host.layout() {
-                cell.settle(id, layout.home(id));
+                cell.settle(id, layout.job_cell(id));
             }
         }),
         Key::Part(id) => {
--- a/crates/front/src/tick.rs
+++ b/crates/front/src/tick.rs
@@ -1,4 +1,4 @@
-//! What an owner does as time passes.
+//! The periodic work of an owner.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -12,33 +12,33 @@
 use crate::clock::{now, wall};
 use crate::owned::Owned;
 
-/// The time between two looks at leases, unanswered orders and times of jobs.
+/// The time between two checks of leases, unanswered orders and job times.
 const EVERY: Duration = Duration::from_millis(100);
 
-/// Looks between two lines on where the cell stands.
-const TELL_EVERY: u32 = 20;
+/// The number of ticks between two log lines on the cell's state.
+const LOG_EVERY: u32 = 20;
 
-/// Looks between two that forget old jobs.
+/// The number of ticks between two that forget old jobs.
 const FORGET_EVERY: u32 = 50;
 
-/// Runs until the cell is another host's.
+/// Runs until the owner is closed.
 pub async fn run(owned: Arc<Owned>) {
-    let mut looks = 0u32;
+    let mut ticks = 0u32;
     while !owned.closed() {
         let due = Instant::now() + EVERY;
         sleep_until(due).await;
         owned.busy.late(due.elapsed());
-        looks = looks.wrapping_add(1);
-        let orders = owned.busy.spend(Work::Look, || look(&owned, looks));
+        ticks = ticks.wrapping_add(1);
+        let orders = owned.busy.measure(Work::Tick, || tick(&owned, ticks));
         owned.dispatch(orders);
         if owned.state().restless() {
-            owned.work.notify_one();
+            owned.wake.notify_one();
         }
     }
 }
 
-/// One look; returns what is to be told.
-fn look(owned: &Owned, looks: u32) -> Vec<Order> {
+/// Runs one tick; returns the orders to send.
+fn tick(owned: &Owned, ticks: u32) -> Vec<Order> {
     let mut cell = owned.state();
     cell.lapse(now());
     cell.evacuate(now());
@@ -46,16 +46,16 @@
     cell.look_for_copies(now());
     cell.give_up(now(), wall());
     cell.begin_rounds(wall());
-    if looks.is_multiple_of(FORGET_EVERY) {
+    if ticks.is_multiple_of(FORGET_EVERY) {
         cell.forget(now(), wall());
     }
-    if looks.is_multiple_of(TELL_EVERY) {
+    if ticks.is_multiple_of(LOG_EVERY) {
         let limbo = cell.limbo(now());
         info!("event=cell cell={} {} {limbo} {}", owned.cell, cell.gist(), owned.busy.take());
     }
     let mut orders = cell.repeat(now());
-    // The part that writes sends them too, but not while an append is under way: with the store away
-    // stops and paces would wait for its return.
+    // The flush task sends them too, but not during an append: while the store is unreachable, stops and speed limits
+    // would wait for it.
     orders.append(&mut cell.orders());
     orders
 }
--- a/crates/front/tests/hedge.rs
+++ b/crates/front/tests/hedge.rs
@@ -6,7 +6,7 @@
 use tokio::time::{Instant, sleep};
 
 use myrtle_adapter::StoreError;
-use myrtle_front::{Outcome, Patience, beside, hedged};
+use myrtle_front::{AnswerTime, Outcome, hedged, with_backup};
 
 /// What one try comes to, and after how many milliseconds.
 #[derive(Clone, Copy)]
@@ -39,7 +39,7 @@
         }
     };
     let end = began + Duration::from_millis(limit);
-    let outcome = hedged(&mut Patience::new(), end, one, |_| false, |_| {}).await;
+    let outcome = hedged(&mut AnswerTime::new(), end, one, |_| false, |_| {}).await;
     (outcome, began.elapsed().as_millis() as u64, made.get())
 }
 
@@ -98,7 +98,7 @@
             millis.is_some_and(|m| m % 2 == 0).then_some(number)
         }
     };
-    let answer = beside(Duration::from_millis(700), one).await;
+    let answer = with_backup(Duration::from_millis(700), one).await;
     (answer, began.elapsed().as_millis() as u64, made.get())
 }
 
--- a/crates/front/tests/layout.rs
+++ b/crates/front/tests/layout.rs
@@ -4,7 +4,9 @@
 
 use rstest::rstest;
 
-use myrtle_front::{Announced, Capacity, Cells, Fleet, Layout, member_address, member_carries};
+use myrtle_front::{
+    Announcement, Capacity, Cells, Fleet, Layout, member_address, member_max_workers,
+};
 use myrtle_job::JobId;
 
 /// What a host of 0.12 cores and a link of 10 megabits a second carries, in workers.
@@ -25,28 +27,28 @@
 fn a_small_deployment_is_one_cell_that_every_host_looks_after() {
     let layout = auto(&[("a", 16), ("b", 16), ("c", 16)], WEAK);
     assert_eq!(layout.count(), 1);
-    assert!(["a", "b", "c", "new"].iter().all(|dc| layout.at_home(0, dc)));
-    assert_eq!(layout.cell_of("b", 7), 0);
+    assert!(["a", "b", "c", "new"].iter().all(|dc| layout.is_local(0, dc)));
+    assert_eq!(layout.worker_cell("b", 7), 0);
 }
 
 #[test]
 fn a_larger_one_has_cells_in_each_data_centre() {
     let layout = auto(&[("a", 117), ("b", 300), ("c", 10)], 120);
     assert_eq!(layout.count(), 1 + 3 + 1);
-    assert_eq!(layout.cell_of("a", 9), 0);
-    assert_eq!(layout.cell_of("c", 9), 4);
-    let cells: Vec<u32> = (0..300).map(|n| layout.cell_of("b", n << 16)).collect();
+    assert_eq!(layout.worker_cell("a", 9), 0);
+    assert_eq!(layout.worker_cell("c", 9), 4);
+    let cells: Vec<u32> = (0..300).map(|n| layout.worker_cell("b", n << 16)).collect();
     assert!((1..4).all(|cell| cells.iter().filter(|&&c| c == cell).count() > 60));
-    assert!(layout.at_home(2, "b") && !layout.at_home(2, "a"));
-    assert!((0..99).all(|n| layout.home(JobId(n)) < 5));
+    assert!(layout.is_local(2, "b") && !layout.is_local(2, "a"));
+    assert!((0..99).all(|n| layout.job_cell(JobId(n)) < 5));
 }
 
 #[test]
 fn a_worker_of_an_unknown_data_centre_belongs_to_the_first_cell() {
     let layout = Layout::new(Cells::DataCentre, &workers(&[("a", 2), ("b", 2)]), WEAK, PARTS);
     assert_eq!(layout.count(), 2);
-    assert_eq!(layout.cell_of("new", 3), 0);
-    assert!(!layout.at_home(0, "new"));
+    assert_eq!(layout.worker_cell("new", 3), 0);
+    assert!(!layout.is_local(0, "new"));
 }
 
 #[test]
@@ -64,7 +66,7 @@
     let counts = [("a", 164), ("b", 163), ("c", 163)];
     assert_eq!(auto(&counts, WEAK).count(), 6);
     assert_eq!(auto(&counts, 200).count(), 3);
-    assert_eq!(auto(&counts, 200).size(), 164);
+    assert_eq!(auto(&counts, 200).max_size(), 164);
     assert_eq!(auto(&counts, 375).count(), 2);
     assert_eq!(auto(&counts, 500).count(), 1);
 }
@@ -80,7 +82,7 @@
     let layout = fleet.layout(Cells::Auto, PARTS);
     let hosts = counts.map(|(dc, _)| (dc.to_string(), 19));
     assert_eq!(layout, auto(&counts, 375).with_hosts(hosts.into()));
-    assert_eq!((layout.count(), layout.size()), (2, 324));
+    assert_eq!((layout.count(), layout.max_size()), (2, 324));
 }
 
 #[rstest]
@@ -108,9 +110,9 @@
 
 /// Some hosts of a strength in a data centre each.
 fn fleet(counts: &[(&str, usize)], hosts: &[(&str, usize, usize)]) -> Fleet {
-    let hosts = hosts.iter().flat_map(|&(dc, count, carries)| {
-        let named = (0..count).map(move |n| format!("{dc}-{carries}-{n}"));
-        named.map(move |name| (name, Announced { data_centre: dc.into(), carries }))
+    let hosts = hosts.iter().flat_map(|&(dc, count, max_workers)| {
+        let named = (0..count).map(move |n| format!("{dc}-{max_workers}-{n}"));
+        named.map(move |name| (name, Announcement { data_centre: dc.into(), max_workers }))
     });
     Fleet { hosts: hosts.collect(), workers: workers(counts) }
 }
@@ -122,12 +124,12 @@
 fn data_centres_share_a_cell_that_a_host_carries() {
     let counts = [("a", 108), ("b", 108), ("c", 108), ("d", 108), ("e", 108)];
     let layout = auto(&counts, 375);
-    assert_eq!((layout.count(), layout.size()), (2, 324));
-    let cells: Vec<u32> = counts.iter().map(|(dc, _)| layout.cell_of(dc, 7)).collect();
+    assert_eq!((layout.count(), layout.max_size()), (2, 324));
+    let cells: Vec<u32> = counts.iter().map(|(dc, _)| layout.worker_cell(dc, 7)).collect();
     assert_eq!(cells.iter().filter(|&&cell| cell == cells[0]).count(), 3, "{cells:?}");
-    assert!(counts.iter().all(|(dc, _)| layout.at_home(layout.cell_of(dc, 7), dc)));
+    assert!(counts.iter().all(|(dc, _)| layout.is_local(layout.worker_cell(dc, 7), dc)));
     let layout = auto(&[("a", 600), ("b", 100), ("c", 100)], 375);
-    assert_eq!((layout.count(), layout.size()), (3, 300));
+    assert_eq!((layout.count(), layout.max_size()), (3, 300));
 }
 
 /// Symptom: days with trouble earn 0.04 less with a cell of 327 workers and one of 163 than with three
@@ -136,9 +138,9 @@
 #[test]
 fn larger_cells_are_the_home_of_more_jobs() {
     let layout = auto(&[("a", 163), ("b", 163), ("c", 164)], 375);
-    assert_eq!((layout.count(), layout.size()), (2, 326));
-    let small = (0..2).find(|&cell| layout.size_of(cell) < 200).unwrap();
-    let homes = (0..10_000u64).filter(|&n| layout.home(JobId(n << 20)) == small).count();
+    assert_eq!((layout.count(), layout.max_size()), (2, 326));
+    let small = (0..2).find(|&cell| layout.cell_size(cell) < 200).unwrap();
+    let homes = (0..10_000u64).filter(|&n| layout.job_cell(JobId(n << 20)) == small).count();
     assert!((3_000..3_700).contains(&homes), "{homes} of 10,000 jobs for a third of the workers");
 }
 
@@ -154,7 +156,7 @@
 #[rstest]
 #[case("front-a-1-0badcafe+375@10.0.0.1:7000", Some(375))]
 #[case("front-a-1-0badcafe@10.0.0.1:7000", None)]
-fn a_member_tells_what_it_carries(#[case] member: &str, #[case] carries: Option<usize>) {
-    assert_eq!(member_carries(member), carries);
+fn a_member_tells_what_it_carries(#[case] member: &str, #[case] max_workers: Option<usize>) {
+    assert_eq!(member_max_workers(member), max_workers);
     assert_eq!(member_address(member), Some(([10, 0, 0, 1], 7000).into()));
 }
--- a/crates/front/tests/survey.rs
+++ b/crates/front/tests/survey.rs
@@ -5,7 +5,7 @@
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 
-use myrtle_front::{Announced, Cells, Fleet, Layout, Survey};
+use myrtle_front::{Announcement, Cells, Fleet, Layout, Survey};
 
 /// How many fleets are drawn.
 const SEEDS: u64 = 300;
@@ -50,7 +50,7 @@
 /// A deployment that starts.
 struct Start {
     fleet: Fleet,
-    known: BTreeMap<String, Announced>,
+    known: BTreeMap<String, Announcement>,
     /// Announcements of each class.
     classes: BTreeMap<u32, usize>,
     hosts: Vec<Host>,
@@ -68,8 +68,8 @@
         fleet.workers.insert(dc.clone(), rng.random_range(4..300));
         let strengths = [rng.random_range(60..120), rng.random_range(120..600)];
         for n in 0..rng.random_range(2..24) {
-            let carries = strengths[usize::from(rng.random_bool(0.25))];
-            let host = Announced { data_centre: dc.clone(), carries };
+            let max_workers = strengths[usize::from(rng.random_bool(0.25))];
+            let host = Announcement { data_centre: dc.clone(), max_workers };
             fleet.hosts.insert(format!("{dc}-{n}"), host);
         }
     }
@@ -132,7 +132,7 @@
         let stronger: usize = self.classes.range(class + 1..).map(|(_, n)| n).sum();
         let rank = host.place.unwrap_or_default() + stronger;
         let counts = rank < host.survey.counters();
-        host.survey.pass(1);
+        host.survey.add_rounds(1);
         if !counts {
             return;
         }
@@ -172,7 +172,7 @@
     let trouble = Trouble::default();
     let mut fleet = Fleet::default();
     for n in 0..300 {
-        let host = Announced { data_centre: format!("d{}", n % 5), carries: 90 + n % 7 };
+        let host = Announcement { data_centre: format!("d{}", n % 5), max_workers: 90 + n % 7 };
         fleet.hosts.insert(format!("h{n}"), host);
     }
     fleet.workers = (0..5).map(|n| (format!("d{n}"), 600)).collect();
