--- a/crates/owner/src/cell.rs
+++ b/crates/owner/src/cell.rs
@@ -3,43 +3,43 @@
 use myrtle_job::{Incarnation, JobId, Key, RunEnd, State, TaskId};
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 
-use crate::jobs::balance::Told;
-use crate::jobs::bar::Bar;
+use crate::jobs::balance::CellLoad;
+use crate::jobs::early_cancel::EarlyCancel;
+use crate::placing::mean_work::MeanWork;
 use crate::placing::pass::Pass;
-use crate::placing::refused::Refused;
-use crate::placing::reserve::Reserve;
-use crate::placing::usual::Usual;
+use crate::placing::short_share::ShortShare;
+use crate::placing::unplaceable::Unplaceable;
 use crate::workers::crash::Silence;
 use crate::workers::wave::WaveState;
 use crate::{Bounds, Harm, Job, Order, Question, Swings, Worker};
 
-/// How often something happened since this owner began.
+/// Counts of events since this owner began.
 #[derive(Debug, Default, Clone, Copy, PartialEq, Eq)]
 pub struct Counts {
-    /// Starts that were ordered.
+    /// Ordered starts.
     pub starts: u64,
     /// Starts that a worker refused.
     pub refused: u64,
-    /// Runs that ended well.
+    /// Runs that succeeded.
     pub done: u64,
     /// Runs that failed.
     pub failed: u64,
-    /// Runs that were stopped to go on elsewhere.
+    /// Runs that were stopped to continue on another worker.
     pub moved: u64,
     /// Runs that were lost with their workers or leases.
     pub lost: u64,
-    /// Paces that were set.
+    /// Speed limits that were set.
     pub paced: u64,
-    /// Workers that started anew under their ids.
+    /// Workers that restarted under the same id.
     pub restarts: u64,
-    /// Jobs that were given up since a task of theirs crashed its workers.
+    /// Jobs that were given up because a task of theirs crashed its workers.
     pub crashers: u64,
 }
 
-/// What the owner of a cell knows and intends.
+/// The state and plans of a cell's owner.
 #[derive(Debug)]
 pub struct Cell {
-    /// The deployment's figures.
+    /// The deployment's limits.
     pub bounds: Bounds,
     /// The fencing token on every order.
     pub fence: u64,
@@ -47,47 +47,48 @@
     pub number: u32,
     /// When this owner took over.
     pub began: u64,
-    /// From when on this owner's host knew that the owners below some fencing tokens had ended.
+    /// When this owner's host learned that the owners below some fencing tokens had ended, by
+    /// token.
     pub ended: BTreeMap<u64, u64>,
-    /// The earlier owners that may have given leases out, by their fencing tokens.
+    /// The fencing tokens of earlier owners that may have granted leases.
     pub(crate) earlier: BTreeSet<u64>,
-    /// Whether there is no other cell to hand jobs on to.
+    /// Whether there is no other cell to transfer jobs to.
     pub alone: bool,
-    /// Whether the log has been read as far as it went at the takeover.
+    /// Whether the log has been read up to its end at the takeover.
     pub loaded: bool,
-    /// The jobs.
+    /// The jobs by id.
     pub jobs: HashMap<JobId, Job>,
-    /// The lives of workers.
+    /// The workers by incarnation.
     pub workers: BTreeMap<Incarnation, Worker>,
-    /// What is known of images that disturb each other.
+    /// The interference model.
     pub harm: Harm,
-    /// What is known of the loads of serving steps.
+    /// The load forecasts of serving steps.
     pub swings: Swings,
-    /// How often something happened.
+    /// Counts of events.
     pub counts: Counts,
-    /// Data centres that the operator empties.
+    /// Evacuated data centres.
     pub(crate) emptied: BTreeSet<String>,
-    /// Workers that went silent lately.
+    /// Workers that went silent recently.
     pub(crate) silences: Vec<Silence>,
     /// Tasks that have crashed too many workers, until their jobs are ended.
     pub(crate) doomed: BTreeSet<TaskId>,
-    /// What found no worker in this pass.
-    pub(crate) refused: Vec<Refused>,
-    /// Where the pass over the waiting tasks is.
+    /// Kinds of tasks that found no worker in this pass.
+    pub(crate) unplaceable: Vec<Unplaceable>,
+    /// Progress of the pass over the waiting tasks.
     pub(crate) pass: Pass,
-    /// What lasting tasks leave to short ones.
-    pub(crate) reserve: Reserve,
-    /// How much work the jobs of each queue usually are.
-    pub(crate) usual: Usual,
-    /// When the list of workers could last not be read.
+    /// The room that long-running tasks leave to short ones.
+    pub(crate) short_share: ShortShare,
+    /// The mean work of the jobs of each queue.
+    pub(crate) mean_work: MeanWork,
+    /// When the list of workers was last unreadable.
     pub(crate) blind: u64,
-    /// What other cells have told of themselves.
-    pub(crate) others: BTreeMap<u32, Told>,
+    /// The loads that other cells reported.
+    pub(crate) cell_loads: BTreeMap<u32, CellLoad>,
     /// Records to be put into other cells' logs.
     pub(crate) due: Vec<Key>,
-    /// Records on their way there.
+    /// Records being sent there.
     pub(crate) sending: BTreeSet<Key>,
-    /// Records of forgotten jobs to be dropped from the log.
+    /// Records of removed jobs to be dropped from the log.
     pub(crate) drops: Vec<Key>,
     /// When loads were last forecast.
     pub(crate) foreseen: u64,
@@ -95,19 +96,19 @@
     pub(crate) open: BTreeSet<JobId>,
     /// Jobs that changed since the last batch.
     pub(crate) dirty: BTreeSet<JobId>,
-    /// Ends that the log does not hold yet, in the order in which they were heard.
+    /// Received ends that are not in the log yet, in the order of their receipt.
     pub(crate) unlogged: Vec<RunEnd>,
     /// Orders that need no record.
     pub(crate) orders: Vec<Order>,
-    /// Jobs with repetitions still to come.
-    pub(crate) timed: BTreeSet<JobId>,
-    /// Waves of upkeep.
+    /// Jobs with repetitions still to begin.
+    pub(crate) repeating: BTreeSet<JobId>,
+    /// Maintenance waves.
     pub(crate) waves: BTreeMap<u64, WaveState>,
     /// Questions to the policy service.
     pub(crate) questions: Vec<Question>,
-    /// Jobs that were taken back before they were known.
-    pub(crate) barred: HashMap<JobId, Bar>,
-    /// Lives of workers whose descriptions the log need not hold any more.
+    /// Jobs that were cancelled before they were known.
+    pub(crate) early_cancels: HashMap<JobId, EarlyCancel>,
+    /// Incarnations of workers whose descriptions the log need not hold any more.
     pub(crate) untraced: Vec<Incarnation>,
 }
 
@@ -130,12 +131,12 @@
             emptied: BTreeSet::new(),
             silences: Vec::new(),
             doomed: BTreeSet::new(),
-            refused: Vec::new(),
+            unplaceable: Vec::new(),
             pass: Pass::default(),
-            reserve: Reserve::new(now),
-            usual: Usual::default(),
+            short_share: ShortShare::new(now),
+            mean_work: MeanWork::default(),
             blind: now,
-            others: BTreeMap::new(),
+            cell_loads: BTreeMap::new(),
             due: Vec::new(),
             sending: BTreeSet::new(),
             drops: Vec::new(),
@@ -145,20 +146,20 @@
             dirty: BTreeSet::new(),
             unlogged: Vec::new(),
             orders: Vec::new(),
-            timed: BTreeSet::new(),
+            repeating: BTreeSet::new(),
             waves: BTreeMap::new(),
             questions: Vec::new(),
-            barred: HashMap::new(),
+            early_cancels: HashMap::new(),
             untraced: Vec::new(),
         }
     }
 
-    /// What clients are told of a job, as far as the log holds it.
+    /// The state of a job that the log holds, which clients see.
     pub fn state(&self, id: JobId) -> Option<State> {
         self.jobs.get(&id).map(|j| j.shown)
     }
 
-    /// How many jobs of each queue have not begun.
+    /// The number of jobs of each queue that have not begun.
     pub fn pending(&self) -> BTreeMap<&str, u64> {
         let mut counts = BTreeMap::new();
         let here = self.jobs.values().filter(|j| j.progress.moved.is_none());
@@ -168,12 +169,12 @@
         counts
     }
 
-    /// Whether nothing waits to be written.
+    /// Whether no change waits to be written.
     pub fn idle(&self) -> bool {
         self.dirty.is_empty() && self.workers.values().all(|w| w.taken <= w.noted)
     }
 
-    /// Whether something waits to be placed, written or sent.
+    /// Whether anything waits to be placed, written or sent.
     pub fn restless(&self) -> bool {
         !self.open.is_empty() || !self.orders.is_empty() || !self.idle()
     }
--- a/crates/owner/src/jobs/admit.rs
+++ b/crates/owner/src/jobs/admit.rs
@@ -1,4 +1,4 @@
-//! How jobs come into a cell, from the log or from an earlier owner, and leave its memory.
+//! Admits jobs from the log or from an earlier owner, and removes them from memory.
 
 use log::{Level, info, log, warn};
 
@@ -7,11 +7,11 @@
 use crate::jobs::offer::Offer;
 use crate::{Cell, Flight, Job, Stage, Worker};
 
-/// The longest age that a job's own stamp may give it; clocks of hosts may jump.
-const OLDEST: u64 = 60_000;
+/// The longest age of a job by the stamp in its record, in milliseconds; clocks of hosts may jump.
+const MAX_AGE: u64 = 60_000;
 
 impl Cell {
-    /// Takes a job from the log; a repeat of one that is known changes nothing.
+    /// Admits a job from the log; a repeat of a known job changes nothing.
     pub fn admit(&mut self, id: JobId, submission: Submission, now: u64, wall: u64) {
         if self.jobs.contains_key(&id) {
             return;
@@ -19,8 +19,8 @@
         if let Err(e) = submission.spec.check() {
             return warn!("event=job-unusable job={id} reason=\"{e}\"");
         }
-        let age = wall.saturating_sub(submission.taken).min(OLDEST);
-        let came = now.saturating_sub(age);
+        let age = wall.saturating_sub(submission.taken).min(MAX_AGE);
+        let arrived_at = now.saturating_sub(age);
         let level = if self.loaded { Level::Info } else { Level::Debug };
         log!(
             level,
@@ -32,38 +32,41 @@
         if self.loaded && !spec.lasts() {
             let short = spec.steps.iter().filter(|s| !s.filler);
             let work = short.map(|s| f64::from(s.count) * s.work()).sum();
-            self.reserve.see(submission.policy.priority, work, now);
+            self.short_share.record(submission.policy.priority, work, now);
         }
-        self.usual.see(&submission.policy.queue, submission.spec.work());
+        self.mean_work.record(&submission.policy.queue, submission.spec.work());
         let mut progress = Progress::default();
         if submission.spec.repeat.is_none() {
             progress.rounds.insert(0, Round::fresh(&submission.spec));
             progress.next = 1;
         } else {
-            self.timed.insert(id);
+            self.repeating.insert(id);
         }
-        self.jobs.insert(id, Job::new(submission, progress, came));
+        self.jobs.insert(id, Job::new(submission, progress, arrived_at));
         self.open.insert(id);
-        if self.barred.remove(&id).is_some() {
-            info!("event=job-barred job={id} reason=\"it was cancelled before it was known\"");
+        if self.early_cancels.remove(&id).is_some() {
+            info!(
+                "event=job-barred job={id} reason=\"it was cancelled before its record arrived\""
+            );
             self.finish(id, State::Cancelled, now, wall);
         }
     }
 
-    /// Forgets jobs that have been over for as long as their state has to be told.
+    /// Removes jobs that have been over for as long as their state has to be kept.
     pub fn forget(&mut self, now: u64, wall: u64) {
         let keep = self.bounds.status + self.bounds.status / 2;
-        self.expire_bars(keep, now);
-        let old = |j: &Job| {
+        self.expire_cancels(keep, now);
+        let is_expired = |j: &Job| {
             let ended = j.progress.ended;
-            let told = j.progress.handed.iter().all(|h| h.recalled);
-            j.progress.state.over() && wall > ended + keep && !j.progress.live() && told
+            let notified = j.progress.handed.iter().all(|h| h.recalled);
+            j.progress.state.over() && wall > ended + keep && !j.progress.live() && notified
         };
-        let gone: Vec<_> = self.jobs.iter().filter(|(_, j)| old(j)).map(|(&id, _)| id).collect();
-        gone.into_iter().for_each(|id| self.discard(id));
+        let expired: Vec<_> =
+            self.jobs.iter().filter(|(_, j)| is_expired(j)).map(|(&id, _)| id).collect();
+        expired.into_iter().for_each(|id| self.discard(id));
     }
 
-    /// Forgets a job, and drops all that the log holds of it.
+    /// Removes a job and drops all its records from the log.
     pub(crate) fn discard(&mut self, id: JobId) {
         let Some(Job { progress, .. }) = self.jobs.remove(&id) else {
             return;
@@ -74,41 +77,41 @@
         self.dirty.insert(id);
     }
 
-    /// Leaves a job alone of which nobody knows how far it has come: started anew, tasks of it could run
+    /// Stops placing a job of which the progress is not known: started again, its tasks could run
     /// twice.
     pub fn withhold(&mut self, id: JobId, why: &str) {
         warn!("event=job-withheld job={id} reason=\"{why}\"");
         self.open.remove(&id);
-        self.timed.remove(&id);
+        self.repeating.remove(&id);
     }
 
-    /// Takes what an earlier owner wrote of a job.
+    /// Restores the progress that an earlier owner wrote for a job.
     pub fn inherit(&mut self, id: JobId, progress: Progress, now: u64) {
         let Some(job) = self.jobs.get_mut(&id) else {
             if progress.state == State::Cancelled {
-                return self.recall_bar(id, &progress, now);
+                return self.restore_cancel(id, &progress, now);
             }
             warn!("event=orphan job={id} reason=\"the log holds its progress but not the job\"");
             return;
         };
         if !progress.fits(&job.submission.spec) {
-            return self.withhold(id, "its progress names tasks that it has not");
+            return self.withhold(id, "its progress names tasks that the job doesn't have");
         }
-        // A cancellation came before this was read.
+        // The job may have been cancelled before its progress was read.
         let ended = job.progress.ended;
-        let taken_back = job.progress.state == State::Cancelled;
+        let cancelled = job.progress.state == State::Cancelled;
         job.shown = progress.state;
         job.progress = progress;
         let over = job.progress.state.over();
         if over || job.progress.next >= job.submission.spec.rounds() {
-            self.timed.remove(&id);
+            self.repeating.remove(&id);
         }
         if over || job.progress.elsewhere() {
             self.open.remove(&id);
         }
         if !job.progress.handed.is_empty() {
-            // The log doesn't say which offer they went by.
-            job.under_way = now + Offer::Soon.takes();
+            // The log doesn't hold which offer they were transferred by.
+            job.transfer_until = now + Offer::Soon.delay();
         }
         let job = &self.jobs[&id];
         self.due.extend(self.undelivered(id, job));
@@ -116,11 +119,11 @@
         self.doomed.extend(given_up.map(|(&task, _)| task));
         for (task, run) in job.runs(id) {
             let spec = self.jobs[&id].step(task.step);
-            let flight = Flight::new(run.number, spec, Stage::Inherited, now);
+            let active = Flight::new(run.number, spec, Stage::Inherited, now);
             let worker = self.workers.entry(run.worker).or_insert_with(|| Worker::new(now));
-            worker.flights.insert(task, flight);
+            worker.flights.insert(task, active);
         }
-        if taken_back {
+        if cancelled {
             self.cancel(id, now, ended);
         }
     }
--- a/crates/owner/src/jobs/ends.rs
+++ b/crates/owner/src/jobs/ends.rs
@@ -1,4 +1,4 @@
-//! Ends of runs, and what follows from them.
+//! Processes ends of runs.
 
 use log::{Level, info, log, warn};
 
@@ -6,21 +6,22 @@
 
 use crate::Cell;
 
-/// The wait before a task that failed is started again, in milliseconds: it goes elsewhere, so a
-/// short one will do.
-const AFTER_FAIL: u64 = 20;
+/// The delay before a failed task is started again, in milliseconds: short, as it goes to another
+/// worker.
+const RETRY_DELAY: u64 = 20;
 
 impl Cell {
-    /// Takes in the end of a run, once.
-    pub(crate) fn end(&mut self, life: &Incarnation, ended: Ended, now: u64, wall: u64) {
-        let Some(worker) = self.workers.get_mut(life) else {
+    /// Processes the end of a run, once.
+    pub(crate) fn end(&mut self, incarnation: &Incarnation, ended: Ended, now: u64, wall: u64) {
+        let Some(worker) = self.workers.get_mut(incarnation) else {
             return;
         };
         if ended.number <= worker.taken {
-            // One that was taken in is told again until it is noted, but its run is off by then.
+            // A worker repeats an end until it is acknowledged, but the run of a processed end is
+            // off the worker.
             if worker.flights.get(&ended.task).is_some_and(|f| f.run == ended.run) {
                 warn!(
-                    "event=end-passed-over task={} run={} worker={life} how={} number={} taken={}",
+                    "event=end-passed-over task={} run={} worker={incarnation} how={} number={} taken={}",
                     ended.task, ended.run, ended.how, ended.number, worker.taken
                 );
             }
@@ -28,36 +29,45 @@
         }
         worker.taken = ended.number;
         let Ended { task, run, how, .. } = ended;
-        let flight = worker.drop_flight(task, run, now);
-        let took = flight.map_or(0, |f| now.saturating_sub(f.since));
-        // Good ends are told by step, so that the volume stays bounded.
+        let active = worker.drop_flight(task, run, now);
+        let took = active.map_or(0, |f| now.saturating_sub(f.since));
+        // Successful ends are logged by step, so that the volume stays bounded.
         let level = if how == How::Done { Level::Debug } else { Level::Info };
-        log!(level, "event=run-ended task={task} run={run} worker={life} how={how} took_ms={took}");
-        self.judge(life, how, task, now);
-        self.unlogged.push(RunEnd { life: life.clone(), ended: ended.clone() });
-        self.take_end(life, ended, now, wall);
+        log!(
+            level,
+            "event=run-ended task={task} run={run} worker={incarnation} how={how} took_ms={took}"
+        );
+        self.judge(incarnation, how, task, now);
+        self.unlogged.push(RunEnd { life: incarnation.clone(), ended: ended.clone() });
+        self.apply_end(incarnation, ended, now, wall);
     }
 
-    /// What follows from the end of a run that is off its worker.
-    pub(crate) fn take_end(&mut self, life: &Incarnation, ended: Ended, now: u64, wall: u64) {
+    /// Updates the job after the end of a run that is off its worker.
+    pub(crate) fn apply_end(
+        &mut self,
+        incarnation: &Incarnation,
+        ended: Ended,
+        now: u64,
+        wall: u64,
+    ) {
         let Ended { task, run, how, .. } = ended;
         let Some(job) = self.jobs.get(&task.job) else {
             return;
         };
         let step = job.submission.spec.steps.get(usize::from(task.step));
-        let lasting = step.is_some_and(|s| s.lasting);
+        let long_running = step.is_some_and(|s| s.lasting);
         let gang = step.is_some_and(|s| s.gang);
-        // An end that is told once more says nothing of the runs that have begun since.
+        // A repeated end says nothing about runs that began since.
         let known = job.progress.task(task).is_some_and(|t| t.run(run).is_some());
-        if !self.note_end(life, ended, lasting, now) {
+        if !self.record_end(incarnation, ended, long_running, now) {
             return;
         }
         self.open.insert(task.job);
         match how {
-            How::Done if !lasting => self.done(task, gang, now, wall),
-            How::Failed if !lasting => {
-                let anew = self.failed(task, run, gang, now, wall);
-                if anew && known {
+            How::Done if !long_running => self.done(task, gang, now, wall),
+            How::Failed if !long_running => {
+                let restart = self.failed(task, run, gang, now, wall);
+                if restart && known {
                     self.regroup(task, now);
                 }
             }
@@ -66,8 +76,14 @@
         }
     }
 
-    /// Writes an end into its task's record; false if nothing follows from it.
-    fn note_end(&mut self, life: &Incarnation, ended: Ended, lasting: bool, now: u64) -> bool {
+    /// Records an end in its task; false if it has no further effect.
+    fn record_end(
+        &mut self,
+        incarnation: &Incarnation,
+        ended: Ended,
+        long_running: bool,
+        now: u64,
+    ) -> bool {
         let Ended { task, run, how, saved, .. } = ended;
         let Some(job) = self.jobs.get_mut(&task.job) else {
             return false;
@@ -83,22 +99,23 @@
         if record.done {
             return false;
         }
-        if lasting {
+        if long_running {
             job.freed.insert(task, now);
         }
         match how {
-            How::Done if !lasting => record.done = true,
+            How::Done if !long_running => record.done = true,
             How::Failed => {
                 record.fail(run);
-                job.retry.insert(task, now + AFTER_FAIL);
-                job.shunned.entry(task).or_default().push(life.clone());
+                job.retry.insert(task, now + RETRY_DELAY);
+                job.shunned.entry(task).or_default().push(incarnation.clone());
             }
             _ => {}
         }
         !job.progress.state.over()
     }
 
-    /// A task has ended well: its copies stop, a gang is done as a whole, a job may be completed.
+    /// Processes the success of a task: its copies stop, a gang is done as a whole, a job may be
+    /// complete.
     fn done(&mut self, task: TaskId, gang: bool, now: u64, wall: u64) {
         self.counts.done += 1;
         let Some(job) = self.jobs.get_mut(&task.job) else {
@@ -111,33 +128,33 @@
             return;
         };
         let step = &mut round.steps[usize::from(task.step)];
-        let mut extra = Vec::new();
+        let mut copies = Vec::new();
         for (index, t) in step.tasks.iter_mut().enumerate() {
             if gang {
                 t.done = true;
             }
             if t.done && index == usize::from(task.index) {
                 let id = TaskId { index: index as u16, ..task };
-                extra.extend(t.live.iter().map(|r| (id, r.clone())));
+                copies.extend(t.live.iter().map(|r| (id, r.clone())));
             }
         }
         if round.done() {
             job.progress.rounds.remove(&task.round);
         }
-        for (id, run) in extra {
+        for (id, run) in copies {
             self.halt(&run.worker, id, run.number, now);
         }
         self.complete(task.job, now, wall);
     }
 
-    /// Ends a job well once every repetition is done.
+    /// Completes a job once every repetition is done.
     fn complete(&mut self, id: JobId, now: u64, wall: u64) {
         let job = &self.jobs[&id];
         let rounds = job.submission.spec.rounds();
         if !job.progress.rounds.is_empty() || job.progress.next < rounds {
             return;
         }
-        let took = now.saturating_sub(job.came);
+        let took = now.saturating_sub(job.arrived_at);
         info!(
             "event=job-done job={id} took_ms={took} objective_ms={} late={}",
             job.objective(),
@@ -146,7 +163,7 @@
         self.finish(id, State::Completed, now, wall);
     }
 
-    /// A run has failed: its task is tried again or the job has failed; true if a gang has to begin anew.
+    /// Processes a failed run: its task is retried or its job fails; true if a gang has to restart.
     fn failed(&mut self, task: TaskId, run: u32, gang: bool, now: u64, wall: u64) -> bool {
         self.counts.failed += 1;
         let Some(job) = self.jobs.get_mut(&task.job) else {
@@ -161,18 +178,18 @@
             step.failed.push(run);
         }
         let of_task = &step.tasks[usize::from(task.index)].failed;
-        let fails = if gang { step.failed.len() } else { of_task.len() };
-        info!("event=run-failed task={task} fails={fails} attempts={attempts}");
-        if fails >= attempts as usize {
+        let failures = if gang { step.failed.len() } else { of_task.len() };
+        info!("event=run-failed task={task} fails={failures} attempts={attempts}");
+        if failures >= attempts as usize {
             let job = task.job;
-            warn!("event=job-failed job={job} task={task} fails={fails}");
+            warn!("event=job-failed job={job} task={task} fails={failures}");
             self.finish(job, State::Failed, now, wall);
             return false;
         }
         gang
     }
 
-    /// One of a gang has ended without success: the others stop, so that all can start again.
+    /// Stops the other tasks of a gang after one ended without success, so that all can restart.
     pub(crate) fn regroup(&mut self, task: TaskId, now: u64) {
         let Some(round) = self.jobs.get(&task.job).and_then(|j| j.progress.rounds.get(&task.round))
         else {
--- a/crates/owner/src/jobs/explain.rs
+++ b/crates/owner/src/jobs/explain.rs
@@ -1,16 +1,16 @@
-//! What operators are told of a job.
+//! Descriptions of jobs for operators.
 
 use myrtle_job::{JobId, TaskId};
 
 use crate::Cell;
 
 impl Cell {
-    /// What is known of a job, in lines for operators.
+    /// Describes a job in lines for operators.
     pub fn explain(&self, id: JobId, now: u64) -> Vec<String> {
         let Some(job) = self.jobs.get(&id) else {
             return Vec::new();
         };
-        let age = now.saturating_sub(job.came);
+        let age = now.saturating_sub(job.arrived_at);
         let policy = &job.submission.policy;
         let mut lines = vec![format!(
             "job {id}: {} (in the log: {}), queue {}, priority {}, {age} ms old, objective {} ms",
@@ -25,7 +25,7 @@
                 task.live.iter().map(|r| format!("run {} on {}", r.number, r.worker)).collect();
             let name = TaskId { job: id, round, step, index };
             let what = match () {
-                _ if job.progress.away(name) => "is looked after by another cell".to_string(),
+                _ if job.progress.away(name) => "was transferred to another cell".to_string(),
                 _ if runs.is_empty() => "waits".to_string(),
                 _ => runs.join(", "),
             };
--- a/crates/owner/src/jobs/job.rs
+++ b/crates/owner/src/jobs/job.rs
@@ -1,4 +1,4 @@
-//! Jobs as the owner holds them.
+//! Jobs as the owner tracks them.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -8,58 +8,59 @@
 /// An accepted job.
 #[derive(Debug, Clone)]
 pub struct Job {
-    /// What was handed in.
+    /// What was submitted.
     pub submission: Submission,
-    /// How far it has come, ahead of the log.
+    /// Its progress, ahead of the log.
     pub progress: Progress,
-    /// What the log holds of its state; clients are told this.
+    /// The state that the log holds, which clients see.
     pub shown: State,
-    /// When it was handed in, by the steady clock.
-    pub came: u64,
-    /// The cell that its name says, if that is known; it may hand the job on to another one.
+    /// When it was submitted, by the steady clock.
+    pub arrived_at: u64,
+    /// The home cell that follows from its name, if known; it may transfer the job to another one.
     pub home: Option<u32>,
-    /// Until when tasks that were handed on to other cells may not have been started there yet.
-    pub under_way: u64,
-    /// When tasks last came from another cell.
-    pub taken_at: u64,
-    /// Since when a task has found no worker, if nothing was placed after that.
-    pub stuck: Option<u64>,
-    /// When tasks may be tried again, after a refusal or a failure.
+    /// Until when transferred tasks may not have been started by the other cells.
+    pub transfer_until: u64,
+    /// When the last incoming transfer was received.
+    pub received_at: u64,
+    /// Since when a task has found no worker, if none was placed after that.
+    pub waiting_since: Option<u64>,
+    /// When tasks may be tried again after a refusal or a failure.
     pub retry: BTreeMap<TaskId, u64>,
-    /// When the last runs of lasting tasks that are not at work have ended, as far as this owner was told.
+    /// When the last runs of long-running tasks that aren't running ended, as far as this owner was
+    /// notified.
     pub freed: BTreeMap<TaskId, u64>,
-    /// Where a task failed or stood still, so that it goes elsewhere.
+    /// Where a task failed or made no progress, so that it goes to another worker.
     pub shunned: BTreeMap<TaskId, Vec<Incarnation>>,
-    /// What the policy service said of steps.
-    pub tickets: BTreeMap<(u32, u16), Permits>,
+    /// The policy service's answers, by repetition and step.
+    pub tickets: BTreeMap<(u32, u16), StepTickets>,
 }
 
-/// What the policy service said of a step.
+/// The policy service's answers for a step.
 #[derive(Debug, Clone, Default)]
-pub struct Permits {
-    /// Workers with their tickets and when these end, by the steady clock.
+pub struct StepTickets {
+    /// Allowed workers with their tickets and when these expire, by the steady clock.
     pub good: BTreeMap<Incarnation, (Arc<str>, u64)>,
-    /// Workers that were asked about.
+    /// Workers that the service was asked about.
     pub asked: Vec<Incarnation>,
-    /// No question before this time.
+    /// When the service may be asked again.
     pub pause: u64,
-    /// Whether a question is under way.
+    /// Whether a question is pending.
     pub asking: bool,
 }
 
 impl Job {
-    /// A job that came at `came`.
-    pub fn new(submission: Submission, progress: Progress, came: u64) -> Self {
+    /// A job that was submitted at `arrived_at`.
+    pub fn new(submission: Submission, progress: Progress, arrived_at: u64) -> Self {
         let shown = progress.state;
         Self {
             submission,
             progress,
             shown,
-            came,
+            arrived_at,
             home: None,
-            under_way: 0,
-            taken_at: 0,
-            stuck: None,
+            transfer_until: 0,
+            received_at: 0,
+            waiting_since: None,
             retry: BTreeMap::new(),
             freed: BTreeMap::new(),
             shunned: BTreeMap::new(),
@@ -67,12 +68,12 @@
         }
     }
 
-    /// Whether a task of the job has to be started here; `record` is the task's own.
+    /// Whether a task of the job has to be started here; `record` is its own.
     pub fn waits(&self, task: TaskId, record: &Task) -> bool {
         record.waits() && !self.progress.away(task) && !self.progress.given_up(task)
     }
 
-    /// What was asked for of a step.
+    /// The specification of a step.
     pub fn step(&self, step: u16) -> &StepSpec {
         &self.submission.spec.steps[usize::from(step)]
     }
@@ -86,19 +87,19 @@
 
     /// How long a task has found no worker, in milliseconds.
     pub fn waited(&self, now: u64) -> u64 {
-        self.stuck.map_or(0, |since| now.saturating_sub(since))
+        self.waiting_since.map_or(0, |since| now.saturating_sub(since))
     }
 
-    /// Whether a task that lasts has run before and has to be started again; it comes before those that
-    /// never ran, which nobody relies on yet.
+    /// Whether a long-running task ran before and has to be restarted; it comes before those that
+    /// never ran, which no user relies on yet.
     pub fn resumes(&self, task: TaskId) -> bool {
-        let lasting =
+        let long_running =
             self.submission.spec.steps.get(usize::from(task.step)).is_some_and(|s| s.lasting);
-        lasting && self.progress.task(task).is_some_and(|t| t.last > 0)
+        long_running && self.progress.task(task).is_some_and(|t| t.last > 0)
     }
 
-    /// Since when users miss a task that waits: 0 for longer than this owner knows, the largest number
-    /// for one that nobody relies on yet.
+    /// The start of the downtime of a waiting task: 0 if it is earlier than this owner can say, the
+    /// largest number for a task that never ran.
     pub fn missed(&self, task: TaskId) -> u64 {
         if !self.resumes(task) {
             return u64::MAX;
@@ -106,8 +107,8 @@
         self.freed.get(&task).copied().unwrap_or(0)
     }
 
-    /// The same of whichever waiting task is missed longest; the job's name is `id`.
-    pub fn longest_missed(&self, id: JobId) -> u64 {
+    /// The start of the longest downtime among the waiting tasks; `id` is the job's own.
+    pub fn longest_down(&self, id: JobId) -> u64 {
         if !self.submission.spec.lasts() {
             return u64::MAX;
         }
@@ -118,7 +119,7 @@
         waiting.map(|(task, _)| self.missed(task)).min().unwrap_or(u64::MAX)
     }
 
-    /// The work still ahead on the longest chain of the oldest repetition, in milliseconds.
+    /// The remaining time on the longest chain of the oldest repetition, in milliseconds.
     pub fn ahead(&self) -> u64 {
         let Some(round) = self.progress.rounds.values().next() else {
             return 0;
@@ -126,8 +127,7 @@
         self.submission.spec.chain(|step| round.steps[step].done())
     }
 
-    /// The work of its oldest repetition that is not done, in thousandths of a core for a
-    /// millisecond.
+    /// The remaining work of the oldest repetition, in thousandths of a core for a millisecond.
     pub fn work_left(&self) -> f64 {
         let Some(round) = self.progress.rounds.values().next() else {
             return 0.0;
@@ -140,7 +140,7 @@
         left.sum()
     }
 
-    /// How many tasks have to be started here and their turn has come; the job's name is `id`.
+    /// The number of tasks that are ready and have to be started here; `id` is the job's own.
     pub fn waiting(&self, id: JobId) -> usize {
         let ready = self.progress.tasks().filter(|&(round, step, ..)| {
             self.progress.rounds[&round].ready(&self.submission.spec, usize::from(step))
@@ -150,7 +150,7 @@
         tasks.filter(|(task, t)| self.waits(*task, t)).count()
     }
 
-    /// Every run that may be going on; the tasks are named for the job `id`, which is this one.
+    /// Every run that may be active, with its task; `id` is the job's own.
     pub fn runs(&self, id: JobId) -> Vec<(TaskId, Run)> {
         let tasks = self.progress.tasks();
         let runs = tasks.flat_map(|(round, step, index, t)| {
--- a/crates/owner/src/jobs/offer.rs
+++ b/crates/owner/src/jobs/offer.rs
@@ -1,26 +1,27 @@
-//! When other cells have room for a task.
+//! Estimates when another cell has room for a task.
 
-use crate::placing::booking::SOON;
+use crate::placing::reservation::HORIZON;
 
-/// How long it takes until a cell with room has started what is handed on to it, in milliseconds; until then the other
-/// tasks of a step count that as away.
-const UNDER_WAY: u64 = 4_000;
+/// The time until a cell with room has started a transferred task, in milliseconds; until then the
+/// other tasks of the step count it as unavailable.
+const TRANSFER_DELAY: u64 = 4_000;
 
 /// When another cell has room for a task; the earliest is the best.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) enum Offer {
-    /// Now.
-    Free,
-    /// Once short tasks have ended; the task waits for that there, and what is short leaves the room to it.
+    /// The room is free.
+    Now,
+    /// The room is free once short tasks have ended; the transferred task waits, and room is
+    /// reserved for it.
     Soon,
 }
 
 impl Offer {
-    /// How long it takes until tasks that go by the offer are at work, in milliseconds.
-    pub(crate) fn takes(self) -> u64 {
+    /// The time until tasks transferred by the offer are running, in milliseconds.
+    pub(crate) fn delay(self) -> u64 {
         match self {
-            Self::Free => UNDER_WAY,
-            Self::Soon => SOON + UNDER_WAY,
+            Self::Now => TRANSFER_DELAY,
+            Self::Soon => HORIZON + TRANSFER_DELAY,
         }
     }
 }
--- /dev/null
+++ b/crates/owner/src/placing/cost.rs
@@ -0,0 +1,249 @@
+//! Chooses the worker with the least cost for a task.
+//!
+//! Costs are relative to the free share of a worker's processors: 1 is a whole worker.
+//! docs/report/DISRUPTION.md compares other weights.
+
+use myrtle_job::{Incarnation, StepSpec, TaskId};
+
+use crate::disruption::pressure::Bearing;
+use crate::placing::search::Search;
+use crate::placing::tolerance::Tolerance;
+use crate::{Cell, Job, Life, Stage, Worker};
+
+/// The share of the processors it asks for that a filler must find free.
+const MIN_FILLER_SHARE: f64 = 0.5;
+
+/// The share of all processors that long-running tasks at first leave on workers without any of
+/// them, for short tasks, which are worth more for the time that they take, and for fillers that
+/// interfere with many images.
+const SOFT_SHARE: f64 = 0.15;
+
+/// The cost of a worker that is still warming up: work goes there only when no other worker has
+/// room, so a data centre that returns while its workers are cold fills up gradually.
+const COLD_COST: f64 = 10.0;
+
+/// The cost for a long-running task of using the soft share.
+const SOFT_COST: f64 = 2.0;
+
+/// The cost for a long-running task of a worker that has none yet.
+const NEW_WORKER_COST: f64 = 1.5;
+
+/// The share of its full speed that a filler must be expected to keep on a worker.
+///
+/// A slowed filler delays its job, and a better worker is often free a moment later.
+const MIN_SPEED: f64 = 0.95;
+
+/// The same for a filler that has waited for long.
+const MIN_SPEED_LATE: f64 = 0.5;
+
+/// The cost of a worker to use only if there is no other one, such as one on a rack away from the
+/// data; outweighs all other costs.
+const AVOID_COST: f64 = 100.0;
+
+/// The cost of a worker that has a task of the step already; spreads a step over workers.
+const SAME_STEP_COST: f64 = 0.3;
+
+/// The gain for a serving task on a worker that has another one of its step: their load cycles
+/// coincide, which leaves longer idle periods to fillers beside them.
+const SAME_STEP_GAIN: f64 = 3.0;
+
+/// The cost of a worker with serving tasks of other images, scaled by their distance.
+const MIXED_COST: f64 = 3.0;
+
+/// The gain for a serving task on a worker that has one of a similar image.
+const SIMILAR_GAIN: f64 = 1.0;
+
+/// The distance between two images, from 0 to 1, below which they count as similar.
+const SIMILAR_BELOW: f64 = 0.5;
+
+/// The weight of the pressure that a filler adds, relative to the free share of a worker.
+const PRESSURE_WEIGHT: f64 = 8.0;
+
+impl Cell {
+    /// The best worker for a task now, if there is any.
+    pub(crate) fn best_worker(
+        &self,
+        job: &Job,
+        spec: &StepSpec,
+        task: TaskId,
+        now: u64,
+    ) -> Option<Incarnation> {
+        let avoided = job.shunned.get(&task).map_or(&[][..], Vec::as_slice);
+        self.pass.visit(self.workers.len());
+        let mut search = Search::new(self, spec, task, job.tolerance(task, now), now);
+        let (suspect, waited) = (self.doubts(task), job.waited(now));
+        let mut best: Option<(f64, &Incarnation)> = None;
+        for (incarnation, worker) in &self.workers {
+            if !worker.open(now) || !self.has_room(worker, job, spec, task) {
+                continue;
+            }
+            if !self.pass.reservations.fits_beside(incarnation, worker, spec) {
+                continue;
+            }
+            if spec.filler && self.about_to_halt(worker, now) {
+                continue;
+            }
+            if self.on_trial(worker, task, suspect, waited, now) {
+                continue;
+            }
+            let ticketed = job.submission.policy.advice.is_some();
+            if ticketed && job.ticket(task, incarnation, now).is_none() {
+                continue;
+            }
+            let Some(mut cost) = self.cost(worker, &mut search) else {
+                continue;
+            };
+            if now < worker.warm {
+                cost += COLD_COST;
+            }
+            if avoided.contains(incarnation) || suspect && worker.just_begun(now) {
+                cost += AVOID_COST;
+            }
+            if best.is_none_or(|(b, _)| cost < b) {
+                best = Some((cost, incarnation));
+            }
+        }
+        best.map(|(_, incarnation)| incarnation.clone())
+    }
+
+    /// Whether a worker has room for a task and may run it.
+    pub(crate) fn has_room(
+        &self,
+        worker: &Worker,
+        job: &Job,
+        spec: &StepSpec,
+        task: TaskId,
+    ) -> bool {
+        spec.claim().fits(&worker.free()) && self.eligible(worker, job, spec, task)
+    }
+
+    /// Whether a worker may run a task, apart from its free room.
+    pub(crate) fn eligible(
+        &self,
+        worker: &Worker,
+        job: &Job,
+        spec: &StepSpec,
+        task: TaskId,
+    ) -> bool {
+        let Some(listing) = &worker.listing else {
+            return false;
+        };
+        if listing.service != job.submission.policy.service || worker.flights.contains_key(&task) {
+            return false;
+        }
+        if spec.requires.as_deref().is_some_and(|label| !worker.labelled(label)) {
+            return false;
+        }
+        spec.spread == 0 || step_tasks(worker, task) < usize::from(spec.spread)
+    }
+
+    /// The cost of a task on a worker; nothing if the task should rather wait.
+    fn cost(&self, worker: &Worker, search: &mut Search<'_>) -> Option<f64> {
+        let spec = search.spec;
+        let mut cost = self.locality_cost(worker, spec, search.task);
+        if spec.filler {
+            return Some(cost + self.filler_cost(worker, search)?);
+        }
+        if spec.lasting && !worker.lasts() {
+            cost += NEW_WORKER_COST;
+            if search.soft_left < worker.size() {
+                match search.tolerance {
+                    Tolerance::Strict => return None,
+                    Tolerance::Relaxed if search.hard_left < worker.size() => return None,
+                    _ => cost += SOFT_COST,
+                }
+            }
+        }
+        if spec.serves() {
+            return Some(cost + self.serving_cost(worker, search));
+        }
+        Some(cost - (worker.spare() - worker.filled()) / worker.size())
+    }
+
+    /// The cost that depends on where the data and the other tasks of the step are.
+    fn locality_cost(&self, worker: &Worker, spec: &StepSpec, task: TaskId) -> f64 {
+        let step_tasks = step_tasks(worker, task);
+        let mut cost = match spec.serves() {
+            true if step_tasks > 0 => -SAME_STEP_GAIN,
+            true => 0.0,
+            false => SAME_STEP_COST * step_tasks as f64,
+        };
+        if let Some(rack) = spec.rack.as_deref()
+            && !worker.labelled(rack)
+        {
+            cost += AVOID_COST;
+        }
+        if spec.same_rack && self.other_rack(worker, task) {
+            cost += AVOID_COST;
+        }
+        cost
+    }
+
+    /// Whether tasks of the step are on racks other than the worker's, and none is on its own.
+    fn other_rack(&self, worker: &Worker, task: TaskId) -> bool {
+        let mut with_tasks = self.workers.values().filter(|w| step_tasks(w, task) > 0).peekable();
+        with_tasks.peek().is_some() && !with_tasks.any(|w| w.rack() == worker.rack())
+    }
+
+    /// The free processors of workers without long-running tasks beyond the soft share, and beyond
+    /// the share for short tasks, in thousandths of a core; negative if that share is used.
+    pub(crate) fn long_running_left(&self, task: TaskId, now: u64) -> (f64, f64) {
+        let answering = self.workers.values().filter(|w| w.life == Life::Well && !w.emptied);
+        let (empty, size, count) = answering.fold((0.0, 0.0, 0), |(empty, size, count), w| {
+            (empty + if w.lasts() { 0.0 } else { w.size() }, size + w.size(), count + 1)
+        });
+        let priority = self.jobs.get(&task.job).map_or(0, |j| j.submission.policy.priority);
+        (
+            empty - SOFT_SHARE * size,
+            empty - self.short_share.whole_workers(priority, size, count, now),
+        )
+    }
+
+    /// Prefers workers with much idle capacity where the filler interferes little and keeps its
+    /// speed; nothing if too little is idle or it would be too slow.
+    fn filler_cost(&self, worker: &Worker, search: &mut Search<'_>) -> Option<f64> {
+        let spec = search.spec;
+        let cpu = f64::from(spec.room.cpu);
+        let idle = worker.spare() - worker.filled();
+        if idle < MIN_FILLER_SHARE * cpu {
+            return None;
+        }
+        let share = cpu / worker.size();
+        let mut speed = Bearing::new();
+        let mut pressure = 0.0;
+        for forecast in &worker.outlooks {
+            let effect = search.effect(&self.harm, &forecast.image);
+            speed.count(forecast, effect.risk, share);
+            pressure += f64::from(forecast.tasks) * effect.rise * share;
+        }
+        let speed = speed.within(spec.estimate);
+        let min_speed = match search.tolerance {
+            Tolerance::Strict => MIN_SPEED,
+            Tolerance::Relaxed => MIN_SPEED_LATE,
+            Tolerance::Any => 0.0,
+        };
+        if speed < min_speed {
+            return None;
+        }
+        Some(PRESSURE_WEIGHT * pressure + 1.0 - speed - idle / worker.size())
+    }
+
+    /// Prefers workers with similar serving tasks, and fills one worker before the next.
+    fn serving_cost(&self, worker: &Worker, search: &mut Search<'_>) -> f64 {
+        let serving = worker.flights.values().filter(|f| f.target.is_some());
+        let (similar, others) = serving.fold((false, 0.0), |(similar, others), f| {
+            let distance = search.distance(&self.harm, f.image.as_deref().unwrap_or(""));
+            (similar || distance < SIMILAR_BELOW, others + distance)
+        });
+        let room = worker.size();
+        let idle = f64::from(worker.free().cpu) / room;
+        MIXED_COST * others + idle - if similar { SIMILAR_GAIN } else { 0.0 }
+    }
+}
+
+/// The number of tasks of the same step on the worker.
+fn step_tasks(worker: &Worker, task: TaskId) -> usize {
+    let from = TaskId { index: 0, ..task };
+    let to = TaskId { index: u16::MAX, ..task };
+    worker.flights.range(from..=to).filter(|(_, f)| f.stage != Stage::Stopped).count()
+}
--- a/crates/owner/src/placing/usual.rs
+++ b/crates/owner/src/placing/mean_work.rs
@@ -1,23 +1,23 @@
-//! How much work the jobs of each queue usually are.
+//! The mean work of the jobs of each queue.
 
 use std::collections::HashMap;
 
-/// The work of jobs that were seen, by queue.
+/// The recorded work of jobs, by queue.
 #[derive(Debug, Default, Clone)]
-pub(crate) struct Usual {
+pub(crate) struct MeanWork {
     queues: HashMap<String, Sum>,
 }
 
-/// A sum of works, and of how many.
+/// A sum of work and its number of jobs.
 #[derive(Debug, Default, Clone, Copy)]
 struct Sum {
     work: f64,
     jobs: f64,
 }
 
-impl Usual {
-    /// Counts a job of a queue.
-    pub(crate) fn see(&mut self, queue: &str, work: f64) {
+impl MeanWork {
+    /// Records a job of a queue.
+    pub(crate) fn record(&mut self, queue: &str, work: f64) {
         if !self.queues.contains_key(queue) {
             self.queues.insert(queue.into(), Sum::default());
         }
@@ -28,8 +28,8 @@
     }
 
     /// The mean work of a queue's jobs, in thousandths of a core for a millisecond; 0 if none was
-    /// seen.
-    pub(crate) fn of(&self, queue: &str) -> f64 {
+    /// recorded.
+    pub(crate) fn mean(&self, queue: &str) -> f64 {
         self.queues.get(queue).map_or(0.0, |sum| sum.work / sum.jobs)
     }
 }
--- a/crates/owner/src/placing/mod.rs
+++ b/crates/owner/src/placing/mod.rs
@@ -1,16 +1,16 @@
-//! What waits and where it goes.
+//! Placement of waiting tasks on workers.
 
-pub(crate) mod booking;
 pub(crate) mod copy;
-pub(crate) mod fit;
+pub(crate) mod cost;
+pub(crate) mod logging;
+pub(crate) mod mean_work;
 pub(crate) mod pass;
-pub(crate) mod permit;
 pub(crate) mod place;
 pub(crate) mod plan;
-pub(crate) mod refused;
-pub(crate) mod reserve;
+pub(crate) mod reservation;
 pub(crate) mod search;
+pub(crate) mod short_share;
 pub(crate) mod step;
-pub(crate) mod takes;
-pub(crate) mod usual;
-pub(crate) mod waits;
+pub(crate) mod tickets;
+pub(crate) mod tolerance;
+pub(crate) mod unplaceable;
--- a/crates/owner/src/placing/pass.rs
+++ b/crates/owner/src/placing/pass.rs
@@ -1,58 +1,58 @@
-//! Cuts a pass over the waiting tasks into slices, so that what else the owner has to do never waits
+//! Divides a pass over the waiting tasks into slices, so that the owner's other work isn't delayed
 //! for long.
 //!
-//! A pass of some seconds outlasted the owner's membership: the log turned away all that it had
-//! placed, and the next owner found more waiting. Cells of 660 workers then changed hands every two to
-//! seven seconds for good.
+//! Fault: a pass of some seconds outlasts the owner's membership, the log rejects all that it
+//! placed, and the successor finds more tasks waiting. Cells of 660 workers then change owners
+//! every two to seven seconds without end.
 
 use std::cell::Cell as Count;
 use std::collections::BTreeSet;
 
 use myrtle_job::{JobId, TaskId};
 
-use crate::placing::booking::Bookings;
+use crate::placing::reservation::Reservations;
 
-/// How many workers a slice looks at, over all tasks: 3 ms on a whole core, 10 to 25 ms on hosts that
+/// How many workers a slice visits, over all tasks: 3 ms on a whole core, 10 to 25 ms on hosts that
 /// own cells.
-const LOOKS: usize = 30_000;
+const SLICE_VISITS: usize = 30_000;
 
-/// How far a pass has come.
+/// Progress of a pass.
 #[derive(Debug, Default)]
 pub(crate) struct Pass {
-    /// The jobs that have had their turn.
+    /// The jobs that have been considered.
     pub(crate) done: BTreeSet<JobId>,
-    /// Tasks that found no worker: a job that is cut looks for them once a pass, else looks that found
-    /// nothing would fill every slice, and neither the job nor those behind it would get further.
-    pub(crate) nowhere: BTreeSet<TaskId>,
-    /// Where room is kept.
-    pub(crate) bookings: Bookings,
-    /// Whether the last job was left before all of its tasks had their turn.
-    pub(crate) cut: bool,
-    /// The workers looked at in this slice.
-    looks: Count<usize>,
+    /// Tasks that found no worker: an interrupted job tries each once a pass, as failed searches
+    /// would otherwise use up every slice and neither the job nor those after it would progress.
+    pub(crate) unplaced: BTreeSet<TaskId>,
+    /// Room reserved for tasks that ran before.
+    pub(crate) reservations: Reservations,
+    /// Whether the last job was interrupted before all of its tasks were considered.
+    pub(crate) interrupted: bool,
+    /// The number of workers visited in this slice.
+    visits: Count<usize>,
 }
 
 impl Pass {
     /// Begins a slice.
-    pub(crate) fn slice(&mut self) {
-        self.looks.set(0);
-        self.cut = false;
+    pub(crate) fn begin_slice(&mut self) {
+        self.visits.set(0);
+        self.interrupted = false;
     }
 
     /// Ends the pass.
     pub(crate) fn end(&mut self) {
         self.done.clear();
-        self.nowhere.clear();
-        self.bookings.end();
+        self.unplaced.clear();
+        self.reservations.end();
     }
 
-    /// Counts workers that were looked at.
-    pub(crate) fn look(&self, workers: usize) {
-        self.looks.set(self.looks.get() + workers);
+    /// Counts visited workers.
+    pub(crate) fn visit(&self, workers: usize) {
+        self.visits.set(self.visits.get() + workers);
     }
 
-    /// Whether the slice has to end.
-    pub(crate) fn spent(&self) -> bool {
-        self.looks.get() >= LOOKS
+    /// Whether the slice has used its visits.
+    pub(crate) fn exhausted(&self) -> bool {
+        self.visits.get() >= SLICE_VISITS
     }
 }
--- a/crates/owner/src/placing/place.rs
+++ b/crates/owner/src/placing/place.rs
@@ -14,8 +14,8 @@
         let mut placed = 0;
         let wanted = waiting.len();
         for task in waiting {
-            if self.pass.spent() {
-                self.pass.cut = true;
+            if self.pass.exhausted() {
+                self.pass.interrupted = true;
                 left = true;
                 break;
             }
@@ -25,36 +25,36 @@
                 continue;
             }
             let copy = job.progress.task(task).is_some_and(|t| !t.waits());
-            let fit = match self.pass.nowhere.contains(&task) {
+            let fit = match self.pass.unplaced.contains(&task) {
                 true => None,
-                false => self.seek(task, copy, now),
+                false => self.find_worker(task, copy, now),
             };
             if fit.is_none() {
-                self.pass.nowhere.insert(task);
+                self.pass.unplaced.insert(task);
             }
             if copy && fit.is_none() {
-                // The run that is there may still end.
+                // The run that exists may still end.
                 continue;
             }
-            let Some(life) = fit else {
-                // The others of the step want the same.
+            let Some(incarnation) = fit else {
+                // The other tasks of the step have the same requirements.
                 self.ask(task, now);
-                self.tell_placed(task, placed, wanted, now);
-                self.stuck(task, now);
+                self.log_placed(task, placed, wanted, now);
+                self.note_waiting(task, now);
                 return true;
             };
-            self.assign(task, &life, None, now);
+            self.assign(task, &incarnation, None, now);
             placed += 1;
         }
         let first = TaskId { job: id, round, step, index: 0 };
-        self.tell_placed(first, placed, wanted, now);
+        self.log_placed(first, placed, wanted, now);
         if let Some(job) = self.jobs.get_mut(&id).filter(|_| !left) {
-            job.stuck = None;
+            job.waiting_since = None;
         }
         left
     }
 
-    /// The tasks of a step that wait, or want a copy; those that users have missed longest come first.
+    /// The tasks of a step that wait or want a copy, longest downtime first.
     pub(crate) fn waiting(&self, id: JobId, round: u32, step: u16, now: u64) -> Vec<TaskId> {
         let job = &self.jobs[&id];
         let tasks = &job.progress.rounds[&round].steps[usize::from(step)].tasks;
@@ -84,27 +84,27 @@
             .map(|index| TaskId { job: id, round, step, index: index as u16 })
             .collect();
         if members.iter().any(|t| job.retry.get(t).is_some_and(|&at| at > now))
-            || self.pass.nowhere.contains(&members[0])
+            || self.pass.unplaced.contains(&members[0])
         {
             return true;
         }
         for (at, &task) in members.iter().enumerate() {
             let job = &self.jobs[&id];
             let spec = job.step(step);
-            let Some(life) = self.fit(job, spec, task, now) else {
+            let Some(incarnation) = self.best_worker(job, spec, task, now) else {
                 for &placed in &members[..at] {
                     self.unassign(placed, number);
                 }
-                self.pass.nowhere.insert(members[0]);
+                self.pass.unplaced.insert(members[0]);
                 self.ask(task, now);
-                self.stuck(task, now);
+                self.note_waiting(task, now);
                 return true;
             };
-            self.assign(task, &life, Some(number), now);
+            self.assign(task, &incarnation, Some(number), now);
         }
-        self.tell_placed(members[0], members.len(), members.len(), now);
+        self.log_placed(members[0], members.len(), members.len(), now);
         if let Some(job) = self.jobs.get_mut(&id) {
-            job.stuck = None;
+            job.waiting_since = None;
         }
         for &task in &members {
             if let Some(t) = self.jobs.get_mut(&id).and_then(|j| j.progress.task_mut(task)) {
@@ -114,8 +114,8 @@
         false
     }
 
-    /// Reserves room for the next run of a task; it starts once that is in the log.
-    fn assign(&mut self, task: TaskId, life: &Incarnation, number: Option<u32>, now: u64) {
+    /// Assigns the next run of a task to a worker; it starts once the log holds it.
+    fn assign(&mut self, task: TaskId, incarnation: &Incarnation, number: Option<u32>, now: u64) {
         let suspect = self.doubts(task);
         let Some(job) = self.jobs.get_mut(&task.job) else {
             return;
@@ -126,17 +126,17 @@
         };
         let run = number.unwrap_or(record.last + 1);
         record.last = run;
-        record.live.push(Run { number: run, worker: life.clone() });
+        record.live.push(Run { number: run, worker: incarnation.clone() });
         job.retry.remove(&task);
         if !spec.lasting {
-            job.stuck = None;
+            job.waiting_since = None;
         }
         self.dirty.insert(task.job);
-        if let Some(worker) = self.workers.get_mut(life) {
-            let flight = Flight { suspect, ..Flight::new(run, &spec, Stage::Written, now) };
-            worker.flights.insert(task, flight);
+        if let Some(worker) = self.workers.get_mut(incarnation) {
+            let active = Flight { suspect, ..Flight::new(run, &spec, Stage::Written, now) };
+            worker.flights.insert(task, active);
             if spec.serves() {
-                // Fillers that are placed next have to reckon with it.
+                // The load forecast has to include it before the next fillers are placed.
                 self.foreseen = 0;
             }
             if spec.filler {
@@ -144,10 +144,10 @@
                 worker.expect(&self.harm, filler, spec.room.cpu);
             }
         }
-        debug!("event=placed task={task} run={run} worker={life} fence={}", self.fence);
+        debug!("event=placed task={task} run={run} worker={incarnation} fence={}", self.fence);
     }
 
-    /// Takes back what was reserved for a run.
+    /// Withdraws an assigned run.
     fn unassign(&mut self, task: TaskId, number: u32) {
         let Some(record) = self.jobs.get_mut(&task.job).and_then(|j| j.progress.task_mut(task))
         else {
--- a/crates/owner/src/placing/plan.rs
+++ b/crates/owner/src/placing/plan.rs
@@ -1,42 +1,43 @@
-//! Finds the jobs whose tasks are to be placed, the most urgent first.
+//! Orders the jobs with waiting tasks by urgency and places their tasks.
 
 use myrtle_job::{JobId, Round, TaskId};
 
 use crate::{Cell, Job};
 
-/// How far beyond its objective a job still earns something, as a multiple; the platform's figure.
-const LATE: u64 = 3;
+/// The multiple of its objective up to which a late job still earns something; the platform's
+/// figure.
+const LATE_FACTOR: u64 = 3;
 
-/// The part of a job's credit that does not grow with its work, in jobs of mean work; the platform's
+/// The part of a job's credit that doesn't grow with its work, in jobs of mean work; the platform's
 /// figure.
-const CREDIT_BASE: f64 = 0.3;
+const CREDIT_FIXED: f64 = 0.3;
 
 /// The part that grows with its work.
-const CREDIT_GROWS: f64 = 0.7;
+const CREDIT_PER_WORK: f64 = 0.7;
 
-/// The scale of costs in ranks, which are whole numbers.
+/// The scale of costs in ranks, which are integers.
 const COST_SCALE: f64 = 1e6;
 
-/// What decides who goes first.
+/// The order in which jobs are placed; the lowest rank comes first.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 struct Rank {
     priority: u32,
-    /// Since when users miss a task of it that ran before: by when jobs came, what was stopped a moment ago would go
-    /// before what has waited for long.
-    missed: u64,
-    /// 0 while the job can be in time, 1 while it can be late, 2 when it earns nothing any more.
+    /// Earliest start of the downtime of a task that ran before: ordered by arrival, a task stopped
+    /// a moment ago would come before one that has waited for long.
+    down_since: u64,
+    /// 0 while the job can be in time, 1 while it can be late, 2 once it earns nothing.
     tier: u8,
-    /// The work left for each credit; 0 for lasting jobs.
+    /// The work left for each credit; 0 for long-running jobs.
     cost: u64,
-    /// When it has to be done, by the steady clock.
+    /// The deadline, by the steady clock.
     due: u64,
     id: JobId,
 }
 
 impl Cell {
-    /// Begins repetitions that are due.
+    /// Begins repetitions that are due at time of day `wall`.
     pub fn begin_rounds(&mut self, wall: u64) {
-        for id in self.timed.clone() {
+        for id in self.repeating.clone() {
             let Some(job) = self.jobs.get_mut(&id) else {
                 continue;
             };
@@ -51,58 +52,58 @@
                 self.dirty.insert(id);
             }
             if job.progress.next >= repeat.count {
-                self.timed.remove(&id);
+                self.repeating.remove(&id);
             }
         }
     }
 
-    /// Finds workers for tasks that wait, in a slice of a pass over all of them; true if the pass
-    /// goes on with the next call.
+    /// Places waiting tasks in one slice of a pass over all of them; true if the pass continues
+    /// with the next call.
     pub fn plan(&mut self, now: u64) -> bool {
         if !self.loaded {
             return false;
         }
         self.foresee(now);
         if self.pass.done.is_empty() {
-            self.refused.clear();
+            self.unplaceable.clear();
         }
-        self.pass.slice();
+        self.pass.begin_slice();
         for rank in self.ranks(now) {
-            if self.pass.spent() {
+            if self.pass.exhausted() {
                 return true;
             }
-            if self.goes_on(rank.id, now) {
+            if self.defer_job(rank.id, now) {
                 self.pass.done.insert(rank.id);
                 continue;
             }
             let waits = self.place_job(rank.id, now);
-            if self.pass.cut {
+            if self.pass.interrupted {
                 return true;
             }
             self.pass.done.insert(rank.id);
             if waits {
-                self.book(rank.id, now);
-                self.hand_on_tasks(rank.id, now);
+                self.reserve_room(rank.id, now);
+                self.transfer_tasks(rank.id, now);
             } else {
                 self.open.remove(&rank.id);
-                self.unstick(rank.id);
+                self.clear_waiting(rank.id);
             }
         }
         self.pass.end();
         false
     }
 
-    /// The open jobs that have not had their turn in this pass, the most urgent first.
+    /// The open jobs not yet considered in this pass, the most urgent first.
     fn ranks(&self, now: u64) -> Vec<Rank> {
         let due = self.open.difference(&self.pass.done);
         let due = due.filter_map(|id| Some((*id, self.jobs.get(id)?)));
-        let mean = |job: &Job| self.usual.of(&job.submission.policy.queue);
+        let mean = |job: &Job| self.mean_work.mean(&job.submission.policy.queue);
         let mut ranks: Vec<Rank> = due.map(|(id, job)| rank(id, job, mean(job), now)).collect();
         ranks.sort_unstable();
         ranks
     }
 
-    /// Places what can be placed of a job; false if nothing of it waits any more.
+    /// Places the tasks of a job that can be placed; false if none of it waits.
     fn place_job(&mut self, id: JobId, now: u64) -> bool {
         let Some(job) = self.jobs.get(&id).filter(|j| !j.progress.state.over()) else {
             return false;
@@ -136,24 +137,24 @@
     }
 }
 
-/// What decides when a job's turn comes; `mean` is the mean work of its queue's jobs.
+/// The rank of a job; `mean` is the mean work of its queue's jobs.
 fn rank(id: JobId, job: &Job, mean: f64, now: u64) -> Rank {
     let objective = job.objective();
-    let due = job.came.saturating_add(objective);
+    let due = job.arrived_at.saturating_add(objective);
     let ready = now + job.ahead();
     let tier = match () {
         _ if job.submission.spec.lasts() => 0,
         _ if ready <= due => 0,
-        _ if ready <= job.came.saturating_add(objective.saturating_mul(LATE)) => 1,
+        _ if ready <= job.arrived_at.saturating_add(objective.saturating_mul(LATE_FACTOR)) => 1,
         _ => 2,
     };
-    // Where more is asked for than fits, the order of dues starts each job when it is too late for
-    // it. What earns most for the work that is left goes first, so what was begun is finished.
-    let credit = CREDIT_BASE * mean + CREDIT_GROWS * job.submission.spec.work();
+    // When demand exceeds capacity, ordering by deadline starts each job when it is too late for
+    // it. Ordering by credit for the remaining work finishes jobs that have begun.
+    let credit = CREDIT_FIXED * mean + CREDIT_PER_WORK * job.submission.spec.work();
     let cost = match job.submission.spec.lasts() {
         true => 0,
         false => (COST_SCALE * job.work_left() / credit.max(1.0)) as u64,
     };
-    let (priority, missed) = (job.submission.policy.priority, job.longest_missed(id));
-    Rank { priority, missed, tier, cost, due, id }
+    let (priority, down_since) = (job.submission.policy.priority, job.longest_down(id));
+    Rank { priority, down_since, tier, cost, due, id }
 }
--- a/crates/owner/src/placing/search.rs
+++ b/crates/owner/src/placing/search.rs
@@ -1,72 +1,81 @@
-//! What is the same for all workers while one task looks for a place.
+//! Values shared by all workers while a worker is chosen for one task.
 
 use std::sync::Arc;
 
 use myrtle_job::{StepSpec, TaskId};
 
-use crate::placing::takes::Takes;
+use crate::placing::tolerance::Tolerance;
 use crate::{Cell, Harm};
 
-/// One task's look at all workers.
+/// The search for a worker for one task.
 ///
-/// What depends on the task, or on pairs of images, is worked out once and not for each worker.
+/// What depends only on the task, or on pairs of images, is computed once and not for each worker.
 pub(crate) struct Search<'a> {
     pub(crate) spec: &'a StepSpec,
     pub(crate) task: TaskId,
-    /// Which room the task takes.
-    pub(crate) takes: Takes,
-    /// The processors that lasting tasks may still take on workers without any.
-    pub(crate) unkept: f64,
-    /// The same once they have waited.
-    pub(crate) unreserved: f64,
-    /// What a filler does to serving images.
-    pairs: Vec<(Arc<str>, Pair)>,
-    /// How unlike its own the images of other serving tasks are.
-    unlike: Vec<(String, f64)>,
+    /// How strictly room is chosen.
+    pub(crate) tolerance: Tolerance,
+    /// The processors left to long-running tasks on workers without any, within the soft share.
+    pub(crate) soft_left: f64,
+    /// The same within the share for short tasks, which applies once they have waited.
+    pub(crate) hard_left: f64,
+    /// Effects of the filler on serving images.
+    effects: Vec<(Arc<str>, Effect)>,
+    /// Distances of other serving images from the task's own.
+    distances: Vec<(String, f64)>,
 }
 
-/// What a filler that uses a whole worker adds to the pressure on a serving image.
+/// The pressure on a serving image that a filler adds when it uses a whole worker.
 #[derive(Debug, Clone, Copy)]
-pub(crate) struct Pair {
-    /// The rise that is expected.
+pub(crate) struct Effect {
+    /// The expected rise.
     pub(crate) rise: f64,
-    /// The same, with doubt counted against the filler.
+    /// The rise with its uncertainty added.
     pub(crate) risk: f64,
 }
 
 impl<'a> Search<'a> {
-    /// A look that has not begun.
+    /// A search in which no worker has been visited.
     pub(crate) fn new(
         cell: &Cell,
         spec: &'a StepSpec,
         task: TaskId,
-        takes: Takes,
+        tolerance: Tolerance,
         now: u64,
     ) -> Self {
-        let (unkept, unreserved) = if spec.lasting { cell.unkept(task, now) } else { (0.0, 0.0) };
-        Self { spec, task, takes, unkept, unreserved, pairs: Vec::new(), unlike: Vec::new() }
+        let (soft_left, hard_left) =
+            if spec.lasting { cell.long_running_left(task, now) } else { (0.0, 0.0) };
+        Self {
+            spec,
+            task,
+            tolerance,
+            soft_left,
+            hard_left,
+            effects: Vec::new(),
+            distances: Vec::new(),
+        }
     }
 
-    /// What the filler does to a serving image.
-    pub(crate) fn pair(&mut self, harm: &Harm, image: &Arc<str>) -> Pair {
-        if let Some((_, pair)) = self.pairs.iter().find(|(known, _)| known == image) {
-            return *pair;
+    /// The effect of the filler on a serving image.
+    pub(crate) fn effect(&mut self, harm: &Harm, image: &Arc<str>) -> Effect {
+        if let Some((_, effect)) = self.effects.iter().find(|(known, _)| known == image) {
+            return *effect;
         }
         let filler = self.image();
-        let pair =
-            Pair { rise: harm.rise(image, filler, 1.0), risk: harm.risk(image, filler, 1.0) };
-        self.pairs.push((image.clone(), pair));
-        pair
+        let effect =
+            Effect { rise: harm.rise(image, filler, 1.0), risk: harm.risk(image, filler, 1.0) };
+        self.effects.push((image.clone(), effect));
+        effect
     }
 
-    /// How unlike the task's own a serving image is.
-    pub(crate) fn unlike(&mut self, harm: &Harm, image: &str) -> f64 {
-        if let Some((_, unlike)) = self.unlike.iter().find(|(known, _)| known == image) {
-            return *unlike;
+    /// The distance of a serving image from the task's own.
+    pub(crate) fn distance(&mut self, harm: &Harm, image: &str) -> f64 {
+        if let Some((_, distance)) = self.distances.iter().find(|(known, _)| known == image) {
+            return *distance;
         }
-        let unlike = harm.unlike(self.image(), image);
-        self.unlike.push((image.into(), unlike));
-        unlike
+        let distance = harm.unlike(self.image(), image);
+        self.distances.push((image.into(), distance));
+        distance
     }
 
     fn image(&self) -> &'a str {
--- a/crates/owner/src/placing/step.rs
+++ b/crates/owner/src/placing/step.rs
@@ -1,8 +1,8 @@
-//! The step that a task belongs to.
+//! Keys of steps.
 
 use myrtle_job::{JobId, TaskId};
 
-/// A step in one repetition of a job: the job, the repetition, the step's place in the job.
+/// A step in one repetition of a job: the job, the repetition, the index of the step in the job.
 pub(crate) type StepKey = (JobId, u32, u16);
 
 /// The step of a task.
--- a/crates/owner/src/gist.rs
+++ b/crates/owner/src/summary.rs
@@ -1,10 +1,10 @@
-//! A cell in one line, for logs and metrics.
+//! A summary of a cell in one line, for logs and metrics.
 
 use derive_more::Display;
 
 use crate::{Cell, Life};
 
-/// Where a cell stands.
+/// A summary of a cell.
 #[derive(Debug, Default, Clone, PartialEq, Display)]
 #[display(
     "jobs={jobs} open={open} waiting={waiting} workers={workers} silent={silent} serving={serving} \
@@ -15,40 +15,40 @@
 pub struct Gist {
     /// Jobs that are not over.
     pub jobs: usize,
-    /// Jobs of which something has to be placed.
+    /// Jobs with tasks that may have to be placed.
     pub open: usize,
-    /// Tasks whose turn has come and that run nowhere.
+    /// Tasks that are ready and run nowhere.
     pub waiting: usize,
     /// Workers that answer.
     pub workers: usize,
-    /// Workers that do not.
+    /// Listed workers that don't answer.
     pub silent: usize,
-    /// Runs that serve.
+    /// Serving runs.
     pub serving: usize,
-    /// Runs that take what others leave.
+    /// Runs of fillers.
     pub fillers: usize,
-    /// Fillers that were slowed.
+    /// Throttled runs.
     pub slowed: usize,
     /// Other runs.
     pub others: usize,
-    /// Serving runs that are over their targets.
+    /// Serving runs that exceed their target latency.
     pub over: usize,
     /// Cores of the workers that answer.
     pub cores: f64,
-    /// Cores that fillers could use.
+    /// Idle cores that fillers could use.
     pub spare: f64,
     /// Cores that fillers ask for.
     pub filled: f64,
-    /// The share of the cell that lasting tasks ask for, whether they run or wait.
+    /// The share of the cell that long-running tasks ask for, whether they run or wait.
     pub claimed: f64,
-    /// Jobs that this owner has given up since a task of theirs crashed its workers.
+    /// Jobs that this owner has given up because a task of theirs crashed its workers.
     pub given_up: u64,
-    /// Workers in data centres that are being emptied.
+    /// Workers in evacuated data centres.
     pub emptied: usize,
 }
 
 impl Cell {
-    /// Where the cell stands.
+    /// Summarizes the cell.
     pub fn gist(&self) -> Gist {
         let given_up = self.counts.crashers;
         let mut gist = Gist { open: self.open.len(), given_up, ..Gist::default() };
@@ -69,17 +69,17 @@
             gist.cores += f64::from(worker.room().cpu) / 1000.0;
             gist.spare += worker.spare() / 1000.0;
             gist.filled += worker.filled() / 1000.0;
-            for flight in worker.flights.values() {
-                match (flight.target, flight.filler) {
+            for active in worker.flights.values() {
+                match (active.target, active.filler) {
                     (Some(_), _) => gist.serving += 1,
                     (None, true) => gist.fillers += 1,
                     (None, false) => gist.others += 1,
                 }
-                gist.slowed += usize::from(flight.pace < 100);
-                gist.over += usize::from(flight.over.is_some());
+                gist.slowed += usize::from(active.pace < 100);
+                gist.over += usize::from(active.over.is_some());
             }
         }
-        gist.claimed = self.taken().share(0.0);
+        gist.claimed = self.total_load().share(0.0);
         gist
     }
 }
--- a/crates/place/src/baseline.rs
+++ b/crates/place/src/baseline.rs
@@ -1,16 +1,16 @@
-//! Baselines that a policy must beat.
+//! Baseline policies that a placement policy must beat.
 
 use crate::{Fleet, Machine, Placer, Want};
 
-/// The first machine with room.
+/// Places on the first machine with room.
 #[derive(Debug, Default)]
 pub struct FirstFit;
 
-/// The machine that is left fullest by declared size.
+/// Places on the machine with the largest share of its declared room taken.
 #[derive(Debug, Default)]
 pub struct BestFit;
 
-/// The machine with the smallest share of its room taken.
+/// Places on the machine with the smallest share of its declared room taken.
 #[derive(Debug, Default)]
 pub struct LeastLoaded;
 
@@ -34,7 +34,7 @@
     }
 }
 
-/// The machines that take the task.
+/// The machines that can take the task, with their numbers.
 pub(crate) fn candidates<'a>(
     fleet: &'a Fleet,
     want: &'a Want,
--- a/crates/place/src/costs.rs
+++ b/crates/place/src/costs.rs
@@ -1,33 +1,33 @@
-//! What a kind of task costs a service beside it, learned from late measurements.
+//! Learns from delayed measurements how much each kind of task slows a service beside it.
 //!
-//! A service's tail against its target is modelled as a base plus, for each kind beside it, the
-//! kind's cost times the share of the processors that it was given. Each measurement moves the
-//! base and the costs of the kinds that were there by a normalised step, bounded so that one bad
-//! sample teaches little, and costs of kinds that are not seen fade back to the prior.
+//! The ratio of a service's tail latency to its target is modelled as a base plus, for each kind
+//! beside it, the kind's cost times the share of the processors that it was given. Each measurement
+//! moves the base and the costs of the kinds that were present by a normalised step, bounded so
+//! that one outlier has little effect, and costs of absent kinds decay towards the prior.
 
-/// The cost of a kind that was never seen.
+/// The cost of a kind without measurements.
 const PRIOR: f64 = 0.6;
 
-/// The tail of a service alone against its target, before it was seen.
+/// The ratio of tail latency to target of a service alone, without measurements.
 const BASE: f64 = 0.4;
 
-/// The part of an error that one measurement corrects.
-const RATE: f64 = 0.15;
+/// The fraction of an error that one measurement corrects.
+const LEARNING_RATE: f64 = 0.15;
 
-/// The most that one measurement moves a cost.
-const STEP: f64 = 0.15;
+/// The largest change of a cost by one measurement.
+const MAX_STEP: f64 = 0.15;
 
-/// How fast a cost fades to the prior for each measurement without its kind.
-const FADE: f64 = 0.0005;
+/// The fraction by which a cost approaches the prior for each measurement without its kind.
+const DECAY: f64 = 0.0005;
 
-/// One measurement and what was on the machine when it was taken.
+/// One measurement and the kinds that were on the machine when it was taken.
 #[derive(Debug, Clone, Default)]
 pub struct Sample {
-    /// The service.
+    /// The number of the service.
     pub service: u16,
     /// Shares of the processors by kind at the time of the measurement.
     pub parts: Vec<(u16, f64)>,
-    /// The measured tail against the target.
+    /// The measured ratio of tail latency to target.
     pub tail: f64,
 }
 
@@ -40,38 +40,39 @@
 }
 
 impl Costs {
-    /// Nothing learned yet, for this many services and kinds.
+    /// A model without measurements, for this many services and kinds.
     pub fn new(services: usize, kinds: usize) -> Self {
         Self { kinds, base: vec![BASE; services], table: vec![PRIOR; services * kinds] }
     }
 
-    /// What a full machine of `kind` would add to the service's tail against its target.
+    /// What a kind adds to the service's ratio of tail latency to target when it uses the whole
+    /// machine.
     pub fn of(&self, service: u16, kind: u16) -> f64 {
         let at = service as usize * self.kinds + kind as usize;
         self.table.get(at).copied().unwrap_or(PRIOR)
     }
 
-    /// The expected tail against the target beside these shares.
+    /// The expected ratio of tail latency to target beside these shares.
     pub fn expect(&self, service: u16, parts: impl Iterator<Item = (u16, f64)>) -> f64 {
         let base = self.base.get(service as usize).copied().unwrap_or(BASE);
-        parts.fold(base, |sum, (kind, part)| sum + self.of(service, kind) * part)
+        parts.fold(base, |sum, (kind, share)| sum + self.of(service, kind) * share)
     }
 
-    /// Takes in a measurement.
+    /// Updates the model by a measurement.
     pub fn learn(&mut self, sample: &Sample) {
         let error = sample.tail - self.expect(sample.service, sample.parts.iter().copied());
         let norm = 0.25 + sample.parts.iter().map(|p| p.1 * p.1).sum::<f64>();
         let service = sample.service as usize;
-        let step = |part: f64| (RATE * error * part / norm).clamp(-STEP, STEP);
+        let step = |share: f64| (LEARNING_RATE * error * share / norm).clamp(-MAX_STEP, MAX_STEP);
         if let Some(base) = self.base.get_mut(service) {
             *base = (*base + step(0.2)).max(0.05);
         }
         for kind in 0..self.kinds {
-            let part = sample.parts.iter().find(|p| p.0 as usize == kind).map_or(0.0, |p| p.1);
+            let share = sample.parts.iter().find(|p| p.0 as usize == kind).map_or(0.0, |p| p.1);
             let Some(cost) = self.table.get_mut(service * self.kinds + kind) else { return };
-            match part > 0.0 {
-                true => *cost = (*cost + step(part)).max(0.0),
-                false => *cost += (PRIOR - *cost) * FADE,
+            match share > 0.0 {
+                true => *cost = (*cost + step(share)).max(0.0),
+                false => *cost += (PRIOR - *cost) * DECAY,
             }
         }
     }
--- a/crates/place/src/fleet.rs
+++ b/crates/place/src/fleet.rs
@@ -1,40 +1,40 @@
-//! The machines as a placement sees them.
+//! The machines as a placement policy sees them.
 
 use std::fmt::Debug;
 
 use myrtle_base::Room;
 
-/// A task that looks for a machine.
+/// A task that needs a machine.
 #[derive(Debug, Clone, Copy)]
 pub struct Want {
     /// The room that it takes.
     pub room: Room,
     /// The number of its kind.
     pub kind: u16,
-    /// The machine that failed it last.
+    /// The machine on which it failed last.
     pub avoid: Option<u32>,
-    /// Whether it must start soon, even at a cost to others.
+    /// Whether it must start soon, even if it slows others.
     pub urgent: bool,
-    /// A number by which tasks of one job spread over racks.
+    /// A number shared by the tasks of a job, which are spread over racks.
     pub group: u32,
 }
 
 /// One machine.
 #[derive(Debug, Clone, Default)]
 pub struct Machine {
-    /// What it has.
+    /// Its total room.
     pub room: Room,
-    /// What is left of it.
+    /// Its free room.
     pub free: Room,
     /// The number of its rack.
     pub rack: u32,
     /// The number of the service that it runs.
     pub service: u16,
-    /// Thousandths of a core that each kind of task was given.
+    /// The processors given to each kind of task, in thousandths of a core.
     pub kinds: Vec<(u16, u32)>,
-    /// The service's measured tail against its target, some time ago; 0 if never measured.
+    /// The service's last measured ratio of tail latency to target; 0 if never measured.
     pub tail: f64,
-    /// Whether it takes tasks.
+    /// Whether it accepts tasks.
     pub up: bool,
 }
 
@@ -45,14 +45,14 @@
     pub machines: Vec<Machine>,
 }
 
-/// A way to place tasks.
+/// A placement policy.
 pub trait Placer: Debug {
     /// The number of the machine to run on, or nothing if the task should wait.
     fn place(&mut self, fleet: &Fleet, want: &Want) -> Option<u32>;
 }
 
 impl Machine {
-    /// Whether it takes the task at all.
+    /// Whether it accepts tasks and has room for this one.
     pub fn takes(&self, want: &Want) -> bool {
         self.up && want.room.fits(&self.free)
     }
@@ -67,7 +67,7 @@
         f64::from(room.cpu) / f64::from(self.room.cpu.max(1))
     }
 
-    /// Enters a task.
+    /// Adds a task.
     pub fn add(&mut self, room: &Room, kind: u16) {
         self.free = self.free.less(room);
         match self.kinds.iter_mut().find(|k| k.0 == kind) {
@@ -76,7 +76,7 @@
         }
     }
 
-    /// Takes a task out again.
+    /// Removes a task.
     pub fn remove(&mut self, room: &Room, kind: u16) {
         self.free += *room;
         if let Some(known) = self.kinds.iter_mut().find(|k| k.0 == kind) {
--- a/crates/place/src/headroom.rs
+++ b/crates/place/src/headroom.rs
@@ -1,14 +1,15 @@
-//! How much of a service's target batch work may use up, following the observed tail.
+//! Adapts the share of a service's target latency that batch work may use to the measured tail.
 
-/// The least and the most of the target that may be planned to be used.
-const LEAST: f64 = 0.5;
-const MOST: f64 = 0.92;
+/// Bounds of the planned share of the target.
+const MIN_PLAN: f64 = 0.5;
+const MAX_PLAN: f64 = 0.92;
 
-/// What a measurement beyond the target takes away, and one within gives back.
-const DOWN: f64 = 0.02;
-const UP: f64 = 0.0002;
+/// Decrease after a measurement above the target, and increase after one within it.
+const DECREASE: f64 = 0.02;
+const INCREASE: f64 = 0.0002;
 
-/// The planned part of the target: one measurement in a hundred may be beyond.
+/// The planned share of the target; it settles where one measurement in a hundred is above the
+/// target.
 #[derive(Debug, Clone)]
 pub struct Headroom {
     plan: f64,
@@ -21,14 +22,14 @@
 }
 
 impl Headroom {
-    /// The part of the target that placements may plan to use.
+    /// The share of the target that placements may plan to use.
     pub fn plan(&self) -> f64 {
         self.plan
     }
 
-    /// Takes in a measurement of a tail against its target.
+    /// Updates the plan by a measured ratio of tail latency to target.
     pub fn seen(&mut self, tail: f64) {
-        let step = if tail > 1.0 { -DOWN } else { UP };
-        self.plan = (self.plan + step).clamp(LEAST, MOST);
+        let step = if tail > 1.0 { -DECREASE } else { INCREASE };
+        self.plan = (self.plan + step).clamp(MIN_PLAN, MAX_PLAN);
     }
 }
--- a/crates/place/src/learned.rs
+++ b/crates/place/src/learned.rs
@@ -1,4 +1,4 @@
-//! Places by learned costs: services keep their targets, batch fills the rest.
+//! Places by learned costs: services keep their targets, and batch work uses the rest.
 
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
@@ -6,13 +6,13 @@
 use crate::baseline::candidates;
 use crate::{Costs, Fleet, Headroom, Machine, Placer, Sample, Want};
 
-/// Machines that are looked at before the whole fleet is searched.
-const LOOKS: usize = 24;
+/// How many machines are sampled before the whole fleet is searched.
+const SAMPLES: usize = 24;
 
-/// The weight of the measured tail against the modelled one; the measured one is late.
-const MEASURED: f64 = 0.5;
+/// The weight of the measured tail against the modelled one; the measurement is delayed.
+const MEASURED_WEIGHT: f64 = 0.5;
 
-/// Places by learned pair costs.
+/// Places tasks by the learned costs of pairs of a service and a kind.
 #[derive(Debug)]
 pub struct Learned {
     costs: Costs,
@@ -21,7 +21,7 @@
 }
 
 impl Learned {
-    /// Nothing learned yet.
+    /// A policy without measurements, for this many services and kinds.
     pub fn new(services: usize, kinds: usize, seed: u64) -> Self {
         Self {
             costs: Costs::new(services, kinds),
@@ -30,7 +30,7 @@
         }
     }
 
-    /// Takes in a measurement.
+    /// Updates the model by a measurement.
     pub fn learn(&mut self, sample: &Sample) {
         self.headroom.seen(sample.tail);
         self.costs.learn(sample);
@@ -41,35 +41,35 @@
         &self.costs
     }
 
-    /// The expected tail against the target on a machine as it is, and with the task.
+    /// The expected ratios of tail latency to target on a machine, without and with the task.
     fn expect(&self, machine: &Machine, want: &Want) -> (f64, f64) {
         let cores = f64::from(machine.room.cpu.max(1));
-        let parts = machine.kinds.iter().map(|(k, cpu)| (*k, f64::from(*cpu) / cores));
-        let model = self.costs.expect(machine.service, parts);
-        let late = if machine.tail > 0.0 { machine.tail } else { model };
-        let now = model.max(model * (1.0 - MEASURED) + late * MEASURED);
+        let shares = machine.kinds.iter().map(|(k, cpu)| (*k, f64::from(*cpu) / cores));
+        let model = self.costs.expect(machine.service, shares);
+        let measured = if machine.tail > 0.0 { machine.tail } else { model };
+        let now = model.max(model * (1.0 - MEASURED_WEIGHT) + measured * MEASURED_WEIGHT);
         let more = self.costs.of(machine.service, want.kind) * machine.part(&want.room);
         (now, now + more)
     }
 
-    /// The cost of a machine, or nothing if the service would suffer.
+    /// The cost of a machine, or nothing if the service would miss its target.
     fn cost(&self, machine: &Machine, want: &Want) -> Option<f64> {
         let (now, then) = self.expect(machine, want);
-        // A service that was never measured has no requests: there is nothing to protect.
+        // A service that was never measured has no requests, so it can't be slowed.
         let over = machine.tail > 0.0 && then > self.headroom.plan();
         if over && !want.urgent {
             return None;
         }
-        // Fill machines where the task disturbs least; among equals, the fuller one.
-        let harm = then - now;
-        let tight = if over { 10.0 * then } else { 0.0 };
-        Some(tight + harm + 0.1 * then - 0.05 * machine.filled())
+        // Prefers machines where the task slows the service least; among equals, the fuller one.
+        let rise = then - now;
+        let penalty = if over { 10.0 * then } else { 0.0 };
+        Some(penalty + rise + 0.1 * then - 0.05 * machine.filled())
     }
 
     fn sampled(&mut self, fleet: &Fleet, want: &Want) -> Option<u32> {
         let n = fleet.machines.len();
         let mut best: Option<(f64, u32)> = None;
-        for _ in 0..LOOKS.min(n * 2) {
+        for _ in 0..SAMPLES.min(n * 2) {
             let at = self.rng.random_range(0..n) as u32;
             let machine = &fleet.machines[at as usize];
             if want.avoid == Some(at) || !machine.takes(want) {
--- a/crates/place/src/lib.rs
+++ b/crates/place/src/lib.rs
@@ -1,4 +1,5 @@
-//! Where a task runs, and what gives way when a service suffers: pure and seeded.
+//! Placement policies, and relief for a service that exceeds its target latency: without I/O, with
+//! seeded randomness.
 
 mod baseline;
 mod costs;
--- a/crates/place/src/relief.rs
+++ b/crates/place/src/relief.rs
@@ -1,48 +1,49 @@
-//! What gives way on one machine when its service suffers: throttle first, evict last.
+//! Chooses which task on a machine to slow when its service exceeds its target: throttles first,
+//! evicts last.
 
 use myrtle_base::Millis;
 
-/// Measurements beyond the target in a row before anything is done.
-const PATIENCE: u32 = 2;
+/// Consecutive measurements above the target before a task is throttled.
+const THROTTLE_AFTER: u32 = 2;
 
-/// Measurements beyond the target in a row, with throttles in force, before a task is evicted.
-const LAST: u32 = 5;
+/// Consecutive measurements above the target, with throttles in force, before a task is evicted.
+const EVICT_AFTER: u32 = 5;
 
-/// Measurements well within the target in a row before a throttle is lifted.
-const CALM: u32 = 4;
+/// Consecutive measurements well within the target before a throttle is lifted.
+const LIFT_AFTER: u32 = 4;
 
-/// The part of the target below which a machine is calm.
-const WELL: f64 = 0.75;
+/// The ratio of tail latency to target below which a measurement is well within it.
+const CALM_BELOW: f64 = 0.75;
 
-/// What a throttled task keeps of its processors, in percent.
-const THROTTLED: u8 = 40;
+/// The share of its processors that a throttled task keeps, in percent.
+const THROTTLED_PERCENT: u8 = 40;
 
-/// What one eviction of a watcher weighs in seconds of lost work.
-const WATCHER: f64 = 600.0;
+/// The weight of evicting a watcher, in seconds of lost work.
+const WATCHER_WEIGHT: f64 = 600.0;
 
 /// A task on the machine.
 #[derive(Debug, Clone, Copy)]
 pub struct Neighbour {
     /// The caller's number for it.
     pub id: u64,
-    /// What its class costs.
+    /// The price of its class.
     pub price: u32,
-    /// What it is expected to add to the service's tail against its target.
+    /// What it is expected to add to the service's ratio of tail latency to target.
     pub harm: f64,
-    /// The work that would be lost, since its last checkpoint.
+    /// The work since its last checkpoint, which an eviction would lose.
     pub lost: Millis,
-    /// Whether it is a standing watcher.
+    /// Whether it is a long-running watcher.
     pub watcher: bool,
 }
 
-/// What to do on the machine.
+/// An action on the machine.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Act {
-    /// Let the task keep this percentage of its processors.
+    /// Limits the task to this percentage of its processors.
     Throttle(u64, u8),
-    /// Let it run freely again.
+    /// Lifts the task's throttle.
     Free(u64),
-    /// Stop it after a checkpoint.
+    /// Stops the task after a checkpoint.
     Evict(u64),
 }
 
@@ -55,50 +56,51 @@
 }
 
 impl Relief {
-    /// Takes in a measurement of the tail against the target.
+    /// Chooses an action, if any, after a measured ratio of tail latency to target.
     pub fn seen(&mut self, tail: f64, neighbours: &[Neighbour]) -> Option<Act> {
         self.throttled.retain(|id| neighbours.iter().any(|t| t.id == *id));
         self.over = if tail > 1.0 { self.over + 1 } else { 0 };
-        self.calm = if tail < WELL { self.calm + 1 } else { 0 };
-        if self.over >= PATIENCE {
-            return self.relieve(neighbours);
+        self.calm = if tail < CALM_BELOW { self.calm + 1 } else { 0 };
+        if self.over >= THROTTLE_AFTER {
+            return self.choose_task(neighbours);
         }
-        if self.calm >= CALM {
+        if self.calm >= LIFT_AFTER {
             self.calm = 0;
             return self.throttled.pop().map(Act::Free);
         }
         None
     }
 
-    /// The tasks that are slowed down.
+    /// The throttled tasks.
     pub fn throttled(&self) -> &[u64] {
         &self.throttled
     }
 
-    fn relieve(&mut self, neighbours: &[Neighbour]) -> Option<Act> {
+    fn choose_task(&mut self, neighbours: &[Neighbour]) -> Option<Act> {
         let running = neighbours.iter().filter(|t| !self.throttled.contains(&t.id) && t.harm > 0.0);
-        let worst = running.max_by(|a, b| worth(a).total_cmp(&worth(b)));
-        if let Some(worst) = worst {
-            self.throttled.push(worst.id);
-            return Some(Act::Throttle(worst.id, THROTTLED));
+        let chosen = running.max_by(|a, b| throttle_benefit(a).total_cmp(&throttle_benefit(b)));
+        if let Some(chosen) = chosen {
+            self.throttled.push(chosen.id);
+            return Some(Act::Throttle(chosen.id, THROTTLED_PERCENT));
         }
-        if self.over < LAST {
+        if self.over < EVICT_AFTER {
             return None;
         }
         self.over = 0;
-        let cheapest = neighbours.iter().min_by(|a, b| loss(a).total_cmp(&loss(b)))?;
+        let cheapest =
+            neighbours.iter().min_by(|a, b| eviction_loss(a).total_cmp(&eviction_loss(b)))?;
         Some(Act::Evict(cheapest.id))
     }
 }
 
-/// How much a throttle brings against what it costs.
-fn worth(neighbour: &Neighbour) -> f64 {
+/// The benefit of a throttle relative to the price of the task.
+fn throttle_benefit(neighbour: &Neighbour) -> f64 {
     neighbour.harm / f64::from(1 + neighbour.price)
 }
 
-/// What an eviction loses, for each part of the harm that goes.
-fn loss(neighbour: &Neighbour) -> f64 {
-    let watcher = if neighbour.watcher { WATCHER } else { 0.0 };
+/// The loss by an eviction relative to the slowdown that it ends.
+fn eviction_loss(neighbour: &Neighbour) -> f64 {
+    let watcher = if neighbour.watcher { WATCHER_WEIGHT } else { 0.0 };
     let work = neighbour.lost.0 as f64 / 1000.0;
     f64::from(1 + neighbour.price) * (1.0 + work + watcher) / (0.01 + neighbour.harm)
 }
