--- a/crates/owner/src/jobs/admit.rs
+++ b/crates/owner/src/jobs/admit.rs
@@ -71,9 +71,9 @@
         let Some(Job { progress, .. }) = self.jobs.remove(&id) else {
             return;
         };
-        let taken = progress.taken.iter().flat_map(|t| [Key::Part(t.part), Key::Recall(t.part)]);
+        let incoming = progress.taken.iter().flat_map(|t| [Key::Part(t.part), Key::Recall(t.part)]);
         let own = (!progress.guest).then_some(Key::Job(id));
-        self.drops.extend(taken.chain(own));
+        self.drops.extend(incoming.chain(own));
         self.dirty.insert(id);
     }
 
--- a/crates/owner/src/jobs/job.rs
+++ b/crates/owner/src/jobs/job.rs
@@ -43,7 +43,7 @@
     /// Workers that the service was asked about.
     pub asked: Vec<Incarnation>,
     /// When the service may be asked again.
-    pub pause: u64,
+    pub ask_at: u64,
     /// Whether a question is pending.
     pub asking: bool,
 }
@@ -100,7 +100,7 @@
 
     /// The start of the downtime of a waiting task: 0 if it is earlier than this owner can say, the
     /// largest number for a task that never ran.
-    pub fn missed(&self, task: TaskId) -> u64 {
+    pub fn down_since(&self, task: TaskId) -> u64 {
         if !self.resumes(task) {
             return u64::MAX;
         }
@@ -108,7 +108,7 @@
     }
 
     /// The start of the longest downtime among the waiting tasks; `id` is the job's own.
-    pub fn longest_down(&self, id: JobId) -> u64 {
+    pub fn earliest_down(&self, id: JobId) -> u64 {
         if !self.submission.spec.lasts() {
             return u64::MAX;
         }
@@ -116,11 +116,11 @@
         let named =
             tasks.map(|(round, step, index, t)| (TaskId { job: id, round, step, index }, t));
         let waiting = named.filter(|(task, t)| self.waits(*task, t));
-        waiting.map(|(task, _)| self.missed(task)).min().unwrap_or(u64::MAX)
+        waiting.map(|(task, _)| self.down_since(task)).min().unwrap_or(u64::MAX)
     }
 
     /// The remaining time on the longest chain of the oldest repetition, in milliseconds.
-    pub fn ahead(&self) -> u64 {
+    pub fn time_left(&self) -> u64 {
         let Some(round) = self.progress.rounds.values().next() else {
             return 0;
         };
--- a/crates/owner/src/jobs/termination.rs
+++ b/crates/owner/src/jobs/termination.rs
@@ -122,7 +122,7 @@
                 active.stage,
                 heard.saturating_sub(active.begun.unwrap_or(heard))
             );
-            // The next incarnation may have taken the run over.
+            // The record may already name the worker's next incarnation.
             if self.holds(incarnation, task, active.run) {
                 self.forget_run(task, active.run);
                 if let Some(down_since) = down_since.filter(|_| active.begun.is_some()) {
--- a/crates/owner/src/jobs/transfer.rs
+++ b/crates/owner/src/jobs/transfer.rs
@@ -78,7 +78,7 @@
         }
     }
 
-    /// Returns a task to the cell that it came from, which may end the job.
+    /// Returns a task to the cell that it first came from, which has the authority to end the job.
     pub(crate) fn give_back(&mut self, task: TaskId) {
         let Some(job) = self.jobs.get_mut(&task.job) else {
             return;
@@ -97,15 +97,16 @@
 
     /// Transfers long-running tasks of a job that have found no worker for a while.
     pub(crate) fn transfer_tasks(&mut self, id: JobId, now: u64) {
-        let may_go = |j: &&Job| j.waiting_since.is_some() && j.submission.spec.repeat.is_none();
-        let Some(job) = self.jobs.get(&id).filter(|j| !self.alone && may_go(j)) else {
+        let may_transfer =
+            |j: &&Job| j.waiting_since.is_some() && j.submission.spec.repeat.is_none();
+        let Some(job) = self.jobs.get(&id).filter(|j| !self.alone && may_transfer(j)) else {
             return;
         };
         if now < self.waits_since(id, job) + TRANSFER_AFTER {
             return;
         }
         let mut waiting: Vec<_> = waiting(id, job, now).collect();
-        waiting.sort_by_key(|task| job.missed(*task));
+        waiting.sort_by_key(|task| job.down_since(*task));
         let mut transfers: BTreeMap<u32, Vec<TaskId>> = BTreeMap::new();
         let mut transfer_until = 0;
         for task in waiting {
@@ -141,7 +142,7 @@
     /// For tasks that ran before, the whole downtime counts: a run is given up only after its lease
     /// has expired, and a wait that began then would be added to that.
     fn waits_since(&self, id: JobId, job: &Job) -> u64 {
-        let down_since = job.longest_down(id).max(self.unconfirmed_since());
+        let down_since = job.earliest_down(id).max(self.unconfirmed_since());
         job.waiting_since.map_or(down_since, |since| since.min(down_since))
     }
 
--- a/crates/owner/src/placing/cost.rs
+++ b/crates/owner/src/placing/cost.rs
@@ -19,7 +19,7 @@
 const SOFT_SHARE: f64 = 0.15;
 
 /// The cost of a worker that is still warming up: work goes there only when no other worker has
-/// room, so a data centre that returns while its workers are cold fills up gradually.
+/// room, so a data centre that returns with cold workers fills as they warm up.
 const COLD_COST: f64 = 10.0;
 
 /// The cost for a long-running task of using the soft share.
@@ -231,13 +231,13 @@
     /// Prefers workers with similar serving tasks, and fills one worker before the next.
     fn serving_cost(&self, worker: &Worker, search: &mut Search<'_>) -> f64 {
         let serving = worker.flights.values().filter(|f| f.target.is_some());
-        let (similar, others) = serving.fold((false, 0.0), |(similar, others), f| {
+        let (similar, distances) = serving.fold((false, 0.0), |(similar, distances), f| {
             let distance = search.distance(&self.harm, f.image.as_deref().unwrap_or(""));
-            (similar || distance < SIMILAR_BELOW, others + distance)
+            (similar || distance < SIMILAR_BELOW, distances + distance)
         });
         let room = worker.size();
-        let idle = f64::from(worker.free().cpu) / room;
-        MIXED_COST * others + idle - if similar { SIMILAR_GAIN } else { 0.0 }
+        let free = f64::from(worker.free().cpu) / room;
+        MIXED_COST * distances + free - if similar { SIMILAR_GAIN } else { 0.0 }
     }
 }
 
--- a/crates/owner/src/placing/logging.rs
+++ b/crates/owner/src/placing/logging.rs
@@ -12,9 +12,9 @@
         let Some(job) = self.jobs.get(&task.job).filter(|j| j.waiting_since.is_none()) else {
             return;
         };
-        let why = self.wait_reason(job, task, now);
+        let reason = self.wait_reason(job, task, now);
         info!(
-            "event=waits task={task} reason=\"{why}\" age_ms={}",
+            "event=waits task={task} reason=\"{reason}\" age_ms={}",
             now.saturating_sub(job.arrived_at)
         );
         if let Some(job) = self.jobs.get_mut(&task.job) {
--- a/crates/owner/src/placing/pass.rs
+++ b/crates/owner/src/placing/pass.rs
@@ -20,7 +20,7 @@
 #[derive(Debug, Default)]
 pub(crate) struct Pass {
     /// The jobs that have been considered.
-    pub(crate) done: BTreeSet<JobId>,
+    pub(crate) considered: BTreeSet<JobId>,
     /// Tasks that found no worker: an interrupted job tries each once a pass, as failed searches
     /// would otherwise use up every slice and neither the job nor those after it would progress.
     pub(crate) unplaced: BTreeSet<TaskId>,
@@ -41,7 +41,7 @@
 
     /// Ends the pass.
     pub(crate) fn end(&mut self) {
-        self.done.clear();
+        self.considered.clear();
         self.unplaced.clear();
         self.reservations.end();
     }
--- a/crates/owner/src/placing/place.rs
+++ b/crates/owner/src/placing/place.rs
@@ -65,7 +65,7 @@
             .filter(|(task, t)| job.waits(*task, t) || self.wants_copy(*task, t, now))
             .map(|(task, _)| task)
             .collect();
-        waiting.sort_by_key(|task| job.missed(*task));
+        waiting.sort_by_key(|task| job.down_since(*task));
         waiting
     }
 
--- a/crates/owner/src/placing/plan.rs
+++ b/crates/owner/src/placing/plan.rs
@@ -64,7 +64,7 @@
             return false;
         }
         self.foresee(now);
-        if self.pass.done.is_empty() {
+        if self.pass.considered.is_empty() {
             self.unplaceable.clear();
         }
         self.pass.begin_slice();
@@ -73,14 +73,14 @@
                 return true;
             }
             if self.defer_job(rank.id, now) {
-                self.pass.done.insert(rank.id);
+                self.pass.considered.insert(rank.id);
                 continue;
             }
             let waits = self.place_job(rank.id, now);
             if self.pass.interrupted {
                 return true;
             }
-            self.pass.done.insert(rank.id);
+            self.pass.considered.insert(rank.id);
             if waits {
                 self.reserve_room(rank.id, now);
                 self.transfer_tasks(rank.id, now);
@@ -95,7 +95,7 @@
 
     /// The open jobs not yet considered in this pass, the most urgent first.
     fn ranks(&self, now: u64) -> Vec<Rank> {
-        let due = self.open.difference(&self.pass.done);
+        let due = self.open.difference(&self.pass.considered);
         let due = due.filter_map(|id| Some((*id, self.jobs.get(id)?)));
         let mean = |job: &Job| self.mean_work.mean(&job.submission.policy.queue);
         let mut ranks: Vec<Rank> = due.map(|(id, job)| rank(id, job, mean(job), now)).collect();
@@ -141,7 +141,7 @@
 fn rank(id: JobId, job: &Job, mean: f64, now: u64) -> Rank {
     let objective = job.objective();
     let due = job.arrived_at.saturating_add(objective);
-    let ready = now + job.ahead();
+    let ready = now + job.time_left();
     let tier = match () {
         _ if job.submission.spec.lasts() => 0,
         _ if ready <= due => 0,
@@ -155,6 +155,6 @@
         true => 0,
         false => (COST_SCALE * job.work_left() / credit.max(1.0)) as u64,
     };
-    let (priority, down_since) = (job.submission.policy.priority, job.longest_down(id));
+    let (priority, down_since) = (job.submission.policy.priority, job.earliest_down(id));
     Rank { priority, down_since, tier, cost, due, id }
 }
--- a/crates/owner/src/placing/short_share.rs
+++ b/crates/owner/src/placing/short_share.rs
@@ -12,8 +12,8 @@
 const TIME_CONSTANT: f64 = 20_000.0;
 
 /// The share of the cell that is left before any demand is recorded: long-running jobs often arrive
-/// first and keep what they take. It decays with the recorded demand, so a cell without short jobs
-/// still fills up.
+/// first and keep what they take. It decays with the same time constant, so a cell without short
+/// jobs still fills up.
 const INITIAL_SHARE: f64 = 0.1;
 
 /// The multiple of the mean demand that is left: demand is uneven, in sizes that pack badly, and in
--- a/crates/owner/src/placing/tickets.rs
+++ b/crates/owner/src/placing/tickets.rs
@@ -63,7 +63,7 @@
         tickets.asking = false;
         self.open.insert(question.job);
         let Some(good) = good else {
-            tickets.pause = now + RETRY_DELAY;
+            tickets.ask_at = now + RETRY_DELAY;
             return;
         };
         info!(
@@ -91,7 +91,7 @@
         let spec = job.step(task.step);
         let empty = StepTickets::default();
         let tickets = job.tickets.get(&(task.round, task.step)).unwrap_or(&empty);
-        if tickets.asking || tickets.pause > now {
+        if tickets.asking || tickets.ask_at > now {
             return;
         }
         let has_valid = tickets.good.values().any(|(_, until)| *until > now);
--- a/crates/owner/src/placing/tolerance.rs
+++ b/crates/owner/src/placing/tolerance.rs
@@ -4,8 +4,8 @@
 
 use crate::Job;
 
-/// How long a long-running task waits for other room before it uses the share left to short ones at
-/// first, in milliseconds.
+/// How long a long-running task waits for other room before it uses the soft share, which is left
+/// to short tasks at first, in milliseconds.
 const RELAX_AFTER: u64 = 1_500;
 
 /// How long a filler waits for a worker where it interferes with no task, in milliseconds; after
