--- a/crates/owner/src/disruption/learn.rs
+++ b/crates/owner/src/disruption/learn.rs
@@ -1,56 +1,57 @@
-//! Learns from workers' reports: the loads of serving tasks, the fillers that disturb them, and how
-//! hard each task is pressed now.
+//! Updates the load cycles and the interference model from workers' reports, and the pressure on
+//! each serving task.
 
 use myrtle_job::Incarnation;
 
-use crate::disruption::harm::{NOISE, Uses, pressure};
+use crate::disruption::harm::{NOISE, Usage, pressure};
 use crate::{Cell, Flight, Worker};
 
-/// The time that a figure covers, in milliseconds; the platform's figure.
-const WINDOW: u64 = 500;
+/// The time that a report covers, in milliseconds; set by the platform.
+const WINDOW_MS: u64 = 500;
 
-/// The share of its use at which a filler counts that ended within the window; least squares over
+/// The share of its usage at which a filler counts that ended within the window; least squares over
 /// the reports of two deployments gave 0.84 and 0.80.
-const FADED: f64 = 0.8;
+const ENDED_SHARE: f64 = 0.8;
 
-/// The share of a change of use that a window may leave out or show twice, since what begins or
-/// ends within it shows in part.
-const TURN: f64 = 0.5;
+/// The share of a change of usage that a window may omit or count twice, since what starts or ends
+/// within it shows only in part.
+const CHANGE_NOISE: f64 = 0.5;
 
-/// The tail over its target up to which a task that was over is surely back below it; figures
-/// scatter by five of a hundred.
+/// The ratio of tail latency to target at which a task that exceeded its target is back below it
+/// for certain; reports scatter by 5 %.
 const SURELY_BELOW: f64 = 0.9;
 
 impl Cell {
-    /// Takes in what a worker's report says of tails and uses, once for each window.
-    pub(crate) fn learn(&mut self, life: &Incarnation, now: u64) {
-        let Some(worker) = self.workers.get_mut(life) else {
+    /// Updates the models with a worker's reported tail latencies and usage, once per window.
+    pub(crate) fn learn(&mut self, incarnation: &Incarnation, now: u64) {
+        let Some(worker) = self.workers.get_mut(incarnation) else {
             return;
         };
-        if worker.figured != now {
+        if worker.reported_at != now {
             return;
         }
-        worker.faded.retain(|f| now.saturating_sub(f.ended) <= WINDOW);
-        let uses = uses(worker);
-        let noise = NOISE + (TURN * change(&worker.uses, &uses)).powi(2);
-        let middle = now.saturating_sub(WINDOW / 2);
-        for (&task, flight) in &mut worker.flights {
-            flight.show_tail(now);
-            let (Some(shown), Some(image)) = (flight.pressure, &flight.image) else {
+        worker.ended_fillers.retain(|f| now.saturating_sub(f.ended_at) <= WINDOW_MS);
+        let usage = filler_usage(worker);
+        let noise = NOISE + (CHANGE_NOISE * usage_change(&worker.usage, &usage)).powi(2);
+        let mid_window = now.saturating_sub(WINDOW_MS / 2);
+        for (&task, active) in &mut worker.flights {
+            active.update_pressure(now);
+            let (Some(shown), Some(image)) = (active.pressure, &active.image) else {
                 continue;
             };
-            let load = self.swings.guess(task, middle);
-            let pressed = self.harm.pressed(image, &uses);
-            self.harm.learn(image, shown - load.mean, load.variance + noise, &uses);
-            self.swings.see(task, middle, shown - pressed.mean, pressed.variance + noise);
+            let load = self.swings.guess(task, mid_window);
+            let added = self.harm.pressed(image, &usage);
+            self.harm.learn(image, shown - load.mean, load.variance + noise, &usage);
+            self.swings.see(task, mid_window, shown - added.mean, added.variance + noise);
         }
-        worker.uses = uses;
+        worker.usage = usage;
     }
 }
 
 impl Flight {
-    /// Takes in how hard its tail shows that it is pressed, if it serves and is ready.
-    fn show_tail(&mut self, now: u64) {
+    /// Computes the pressure from the reported tail latency, if the task serves requests and is
+    /// ready.
+    fn update_pressure(&mut self, now: u64) {
         let Some(target) = self.target.filter(|_| self.image.is_some()) else {
             return;
         };
@@ -63,31 +64,31 @@
         self.pressure = Some(pressure(ratio));
         self.over = match ratio {
             _ if ratio > 1.0 => self.over.or(Some(now)),
-            // Figures are rough: a little below the target is not surely below it.
+            // Reports scatter: a little below the target is not below it for certain.
             _ if ratio > SURELY_BELOW => self.over,
             _ => None,
         };
     }
 }
 
-/// What fillers used in the last window, with those that ended in it.
-fn uses(worker: &Worker) -> Uses {
+/// What fillers used in the last window, including those that ended in it.
+fn filler_usage(worker: &Worker) -> Usage {
     let size = worker.size();
-    let mut uses = Uses::new();
-    for flight in worker.flights.values().filter(|f| f.filler && f.figure > 0.0) {
-        if let Some(image) = &flight.image {
-            *uses.entry(image.clone()).or_default() += flight.figure / size;
+    let mut usage = Usage::new();
+    for active in worker.flights.values().filter(|f| f.filler && f.figure > 0.0) {
+        if let Some(image) = &active.image {
+            *usage.entry(image.clone()).or_default() += active.figure / size;
         }
     }
-    for faded in &worker.faded {
-        *uses.entry(faded.image.clone()).or_default() += FADED * faded.used / size;
+    for filler in &worker.ended_fillers {
+        *usage.entry(filler.image.clone()).or_default() += ENDED_SHARE * filler.used / size;
     }
-    uses
+    usage
 }
 
-/// How much the uses of two windows differ.
-fn change(before: &Uses, after: &Uses) -> f64 {
-    let came = after.iter().map(|(n, used)| (used - before.get(n).unwrap_or(&0.0)).abs());
-    let went = before.iter().filter(|(n, _)| !after.contains_key(*n)).map(|(_, used)| *used);
-    came.chain(went).sum()
+/// The sum of the differences between the usage in two windows.
+fn usage_change(before: &Usage, after: &Usage) -> f64 {
+    let appeared = after.iter().map(|(n, used)| (used - before.get(n).unwrap_or(&0.0)).abs());
+    let ended = before.iter().filter(|(n, _)| !after.contains_key(*n)).map(|(_, used)| *used);
+    appeared.chain(ended).sum()
 }
--- /dev/null
+++ b/crates/owner/src/disruption/learned.rs
@@ -0,0 +1,69 @@
+//! The learned model: what an owner writes to the log about interference and load cycles for its
+//! successor.
+
+use std::sync::Arc;
+
+use serde::{Deserialize, Serialize};
+
+use myrtle_job::{RecordError, decode, encode};
+
+use crate::Cell;
+use crate::placing::step::StepKey;
+
+/// The estimated coefficient of a pair of images.
+#[derive(Debug, Clone, Copy, PartialEq, Serialize, Deserialize)]
+pub(crate) struct Estimate {
+    pub(crate) coefficient: f32,
+    pub(crate) variance: f32,
+}
+
+/// The learned load cycles of serving steps.
+#[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize)]
+pub(crate) struct LearnedLoads {
+    /// The accumulated prediction error of each period.
+    pub(crate) errors: Vec<f32>,
+    /// How far the clock of the load cycles is ahead of the time of day, in milliseconds.
+    pub(crate) wall_offset: i64,
+    /// The mean, sine and cosine coefficients of each step, for the best period.
+    pub(crate) steps: Vec<(StepKey, [f32; 3])>,
+}
+
+/// The learned model as it is stored.
+#[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize)]
+pub(crate) struct LearnedModel {
+    /// The filler images.
+    pub(crate) fillers: Vec<Arc<str>>,
+    /// The coefficients of the filler images for each serving image, in the same order.
+    pub(crate) images: Vec<(Arc<str>, Vec<Estimate>)>,
+    /// The load cycles.
+    pub(crate) loads: LearnedLoads,
+}
+
+impl Cell {
+    /// The encoded model that this owner has learned; none before the first report of interference.
+    ///
+    /// `now` is the host's steady clock, `wall` the time of day, both in milliseconds.
+    pub fn lessons(&self, now: u64, wall: u64) -> Option<Vec<u8>> {
+        let (fillers, images) = (self.harm.fillers(), self.harm.images());
+        if images.is_empty() {
+            return None;
+        }
+        Some(encode(&LearnedModel { fillers, images, loads: self.swings.learned(now, wall) }))
+    }
+
+    /// Restores the model that an earlier owner has learned.
+    ///
+    /// # Errors
+    ///
+    /// The bytes can't be decoded as a model of this program's version; the state is unchanged
+    /// then.
+    pub fn recall(&mut self, bytes: &[u8], now: u64, wall: u64) -> Result<(), RecordError> {
+        let model: LearnedModel = decode(bytes)?;
+        self.harm.restore(model.fillers, model.images);
+        self.swings.restore(model.loads, now, wall);
+        // A job may have ended since the model was written.
+        let over = |id| self.jobs.get(&id).is_none_or(|j| j.progress.state.over());
+        self.swings.retain(|id| !over(id));
+        Ok(())
+    }
+}
--- a/crates/owner/src/disruption/mod.rs
+++ b/crates/owner/src/disruption/mod.rs
@@ -1,13 +1,13 @@
-//! What tasks do to each other, and how those that fill are paced.
+//! Predicts how tasks on one worker slow each other, and throttles fillers accordingly.
 
+pub(crate) mod forecast;
 pub(crate) mod harm;
 pub(crate) mod headroom;
 pub(crate) mod learn;
-pub(crate) mod lessons;
+pub(crate) mod learned;
+pub(crate) mod least_squares;
 pub(crate) mod model;
-pub(crate) mod outlook;
-pub(crate) mod pace;
 pub(crate) mod pressure;
 pub(crate) mod sine;
-pub(crate) mod squares;
 pub(crate) mod swing;
+pub(crate) mod throttle;
--- a/crates/owner/src/disruption/model.rs
+++ b/crates/owner/src/disruption/model.rs
@@ -1,118 +1,118 @@
-//! What filling images do to one serving image, fitted by recursive least squares.
+//! The interference coefficients of one serving image, fitted by recursive least squares.
 
-use crate::disruption::lessons::Known;
-use crate::disruption::squares::{bounded, dot};
+use crate::disruption::learned::Estimate;
+use crate::disruption::least_squares::{clamp_error, dot};
 
-/// How much of its past a model keeps at each report; about two thousand count, which is some
-/// twenty seconds of one image on 48 workers.
-const KEEP: f64 = 0.9995;
+/// The forgetting factor of a model at each report: about two thousand reports count, some twenty
+/// seconds of one image on 48 workers.
+const FORGETTING: f64 = 0.9995;
 
-/// The coefficient that is taken for a pair before anything is known, as of images that do no harm.
-pub(crate) const USUAL: f64 = 0.15;
+/// The coefficient of a pair before any report, that of images that slow no others.
+pub(crate) const DEFAULT_COEFFICIENT: f64 = 0.15;
 
-/// The variance of a coefficient before anything is known.
-pub(crate) const PRIOR: f64 = 0.5;
+/// The variance of a coefficient before any report.
+pub(crate) const PRIOR_VARIANCE: f64 = 0.5;
 
 /// The largest variance of a coefficient that forgetting may bring back.
-const LOOSEST: f64 = 0.5;
+const MAX_VARIANCE: f64 = 0.5;
 
-/// The coefficients of one serving image, one for each filling image, and their covariance.
+/// The coefficients of one serving image, one for each filler image, and their covariance.
 #[derive(Debug, Clone, Default)]
-pub(crate) struct Model {
+pub(crate) struct ImageModel {
     theta: Vec<f64>,
-    cover: Vec<Vec<f64>>,
+    covariance: Vec<Vec<f64>>,
 }
 
-impl Model {
-    /// A model of what is known of each coefficient by itself.
-    pub(crate) fn of(known: &[Known]) -> Self {
+impl ImageModel {
+    /// A model of independent estimates, one for each coefficient.
+    pub(crate) fn from_estimates(estimates: &[Estimate]) -> Self {
         let mut model = Self::default();
-        model.grow(known.len());
-        for (at, known) in known.iter().enumerate() {
-            model.theta[at] = f64::from(known.coefficient);
-            model.cover[at][at] = f64::from(known.variance).clamp(0.0, LOOSEST);
+        model.grow(estimates.len());
+        for (at, estimate) in estimates.iter().enumerate() {
+            model.theta[at] = f64::from(estimate.coefficient);
+            model.covariance[at][at] = f64::from(estimate.variance).clamp(0.0, MAX_VARIANCE);
         }
         model
     }
 
-    /// The coefficient of a filling image, by its number; nothing if that was never seen.
+    /// The coefficient of a filler image, by its index; none if the image was never reported.
     pub(crate) fn coefficient(&self, at: usize) -> Option<f64> {
         self.theta.get(at).copied()
     }
 
-    /// The variance of that coefficient.
-    pub(crate) fn variance_of(&self, at: usize) -> Option<f64> {
-        self.cover.get(at)?.get(at).copied()
+    /// The variance of the same coefficient.
+    pub(crate) fn coefficient_variance(&self, at: usize) -> Option<f64> {
+        self.covariance.get(at)?.get(at).copied()
     }
 
-    /// How many filling images it has coefficients of.
+    /// The number of filler images that have coefficients.
     pub(crate) fn size(&self) -> usize {
         self.theta.len()
     }
 
-    /// What is known of each coefficient by itself.
-    pub(crate) fn known(&self) -> Vec<Known> {
-        let pairs = self.theta.iter().zip(&self.cover).enumerate();
-        let known = pairs.map(|(at, (theta, row))| Known {
+    /// The estimate of each coefficient by itself, without covariances.
+    pub(crate) fn estimates(&self) -> Vec<Estimate> {
+        let pairs = self.theta.iter().zip(&self.covariance).enumerate();
+        let estimates = pairs.map(|(at, (theta, row))| Estimate {
             coefficient: *theta as f32,
             variance: row[at] as f32,
         });
-        known.collect()
+        estimates.collect()
     }
 
-    /// The variance of the pressure that uses are expected to add.
+    /// The variance of the pressure that usage `x` is expected to add.
     pub(crate) fn variance(&self, x: &[f64]) -> f64 {
-        let rows = self.cover.iter().zip(x);
+        let rows = self.covariance.iter().zip(x);
         rows.map(|(row, xi)| xi * dot(row, x)).sum::<f64>().max(0.0)
     }
 
-    /// Takes in a pressure `y` that uses `x` added, and its variance.
+    /// Updates the coefficients with a pressure `y` that usage `x` added, and its variance.
     pub(crate) fn update(&mut self, x: &[f64], y: f64, noise: f64) {
         self.grow(x.len());
-        let px: Vec<f64> = self.cover.iter().map(|row| dot(row, x)).collect();
-        let spread = dot(&px, x);
-        if spread <= f64::EPSILON {
+        let cross: Vec<f64> = self.covariance.iter().map(|row| dot(row, x)).collect();
+        let usage_variance = dot(&cross, x);
+        if usage_variance <= f64::EPSILON {
             return;
         }
-        let variance = noise * KEEP + spread;
-        let error = bounded(y - dot(&self.theta, x), variance);
-        for (theta, p) in self.theta.iter_mut().zip(&px) {
+        let variance = noise * FORGETTING + usage_variance;
+        let error = clamp_error(y - dot(&self.theta, x), variance);
+        for (theta, p) in self.theta.iter_mut().zip(&cross) {
             *theta += p / variance * error;
         }
-        for (row, pi) in self.cover.iter_mut().zip(&px) {
-            for (cell, pj) in row.iter_mut().zip(&px) {
-                *cell = (*cell - pi * pj / variance) / KEEP;
+        for (row, pi) in self.covariance.iter_mut().zip(&cross) {
+            for (cell, pj) in row.iter_mut().zip(&cross) {
+                *cell = (*cell - pi * pj / variance) / FORGETTING;
             }
         }
-        self.bound();
+        self.limit_variance();
     }
 
-    /// Keeps forgetting from making a coefficient looser than the bound.
-    fn bound(&mut self) {
-        for i in 0..self.cover.len() {
-            let variance = self.cover[i][i];
-            if variance <= LOOSEST {
+    /// Scales the covariance down so that forgetting raises no variance above its bound.
+    fn limit_variance(&mut self) {
+        for i in 0..self.covariance.len() {
+            let variance = self.covariance[i][i];
+            if variance <= MAX_VARIANCE {
                 continue;
             }
-            let scale = (LOOSEST / variance).sqrt();
-            for j in 0..self.cover.len() {
-                self.cover[i][j] *= scale;
-                self.cover[j][i] *= scale;
+            let scale = (MAX_VARIANCE / variance).sqrt();
+            for j in 0..self.covariance.len() {
+                self.covariance[i][j] *= scale;
+                self.covariance[j][i] *= scale;
             }
         }
     }
 
-    /// Makes room for the coefficients of `n` filling images.
+    /// Adds coefficients until there are `n`, one for each filler image.
     fn grow(&mut self, n: usize) {
         while self.theta.len() < n {
-            self.theta.push(USUAL);
-            for row in &mut self.cover {
+            self.theta.push(DEFAULT_COEFFICIENT);
+            for row in &mut self.covariance {
                 row.push(0.0);
             }
             let at = self.theta.len() - 1;
             let mut row = vec![0.0; at + 1];
-            row[at] = PRIOR;
-            self.cover.push(row);
+            row[at] = PRIOR_VARIANCE;
+            self.covariance.push(row);
         }
     }
 }
--- a/crates/owner/src/orders/commit.rs
+++ b/crates/owner/src/orders/commit.rs
@@ -1,46 +1,46 @@
-//! What is written to the log, and what may follow once it is there.
+//! Batches of records for the log, and what may follow once they are written.
 
 use myrtle_job::{Incarnation, JobId, Key, State, TaskId, encode_packed};
 
 use crate::{Cell, Order, Stage, Trace};
 
-/// One append and what waits for it.
+/// One append to the log and what waits for it.
 #[derive(Debug, Default)]
 pub struct Batch {
-    /// The records: a job's progress by its name; an empty value drops the job.
+    /// The records: a job's progress by its id; an empty value removes the job.
     pub records: Vec<(JobId, Vec<u8>)>,
     /// The descriptions of workers that are given work for the first time.
     pub traces: Vec<Trace>,
-    /// Earlier owners of which the log need not tell any more, by their fencing tokens.
+    /// Earlier owners whose records the log no longer needs, by fencing token.
     pub owners: Vec<u64>,
     /// Runs to start once the records are in the log.
     starts: Vec<(Incarnation, TaskId, u32)>,
-    /// Ends up to these numbers are told by the records.
-    notes: Vec<(Incarnation, u64)>,
-    /// States that clients may be told then.
+    /// The numbers up to which the records include the ends that a worker reported.
+    noted: Vec<(Incarnation, u64)>,
+    /// Job states that clients may be shown after the append.
     shown: Vec<(JobId, State)>,
-    /// Records that other cells may be given then.
-    due: Vec<Key>,
-    /// Records of forgotten jobs.
+    /// Records that other cells may be given after the append.
+    deliverable: Vec<Key>,
+    /// Records of removed jobs.
     pub drops: Vec<Key>,
-    /// How many ends the records tell of that were not in the log.
+    /// The number of ends in the records that were not in the log before.
     ends: usize,
 }
 
 impl Batch {
-    /// Whether there is anything to do.
+    /// Whether there is nothing to append.
     pub fn is_empty(&self) -> bool {
-        self.records.is_empty() && self.traces.is_empty() && self.notes.is_empty()
+        self.records.is_empty() && self.traces.is_empty() && self.noted.is_empty()
     }
 }
 
 impl Cell {
-    /// Orders that may go out at once.
+    /// Takes the orders that can be sent at once.
     pub fn orders(&mut self) -> Vec<Order> {
         std::mem::take(&mut self.orders)
     }
 
-    /// Everything that changed since the last batch.
+    /// Collects everything that has changed since the last batch.
     pub fn batch(&mut self) -> Batch {
         let drops = std::mem::take(&mut self.drops);
         let (traces, ends) = (self.traces(), self.unlogged.len());
@@ -53,26 +53,26 @@
             };
             batch.records.push((id, encode_packed(&job.progress)));
             batch.shown.push((id, job.progress.state));
-            batch.due.extend(self.undelivered(id, job));
+            batch.deliverable.extend(self.undelivered(id, job));
         }
-        for (life, worker) in &self.workers {
+        for (incarnation, worker) in &self.workers {
             if worker.taken > worker.noted {
-                batch.notes.push((life.clone(), worker.taken));
+                batch.noted.push((incarnation.clone(), worker.taken));
             }
             let written = worker.flights.iter().filter(|(_, f)| f.stage == Stage::Written);
-            batch.starts.extend(written.map(|(&task, f)| (life.clone(), task, f.run)));
+            batch.starts.extend(written.map(|(&task, f)| (incarnation.clone(), task, f.run)));
         }
         batch
     }
 
-    /// The batch is in the log: returns the starts that may go out now.
+    /// Marks a batch as written; returns the starts that can be sent now.
     pub fn committed(&mut self, batch: Batch, now: u64) -> Vec<Order> {
         self.traced(batch.traces);
         self.earlier.retain(|fence| !batch.owners.contains(fence));
         self.bars_logged(batch.records.iter().map(|(id, _)| *id));
         self.unlogged.drain(..batch.ends.min(self.unlogged.len()));
-        for (life, number) in batch.notes {
-            if let Some(worker) = self.workers.get_mut(&life) {
+        for (incarnation, number) in batch.noted {
+            if let Some(worker) = self.workers.get_mut(&incarnation) {
                 worker.noted = worker.noted.max(number);
             }
         }
@@ -81,34 +81,36 @@
                 job.shown = state;
             }
         }
-        self.due.extend(batch.due);
+        self.due.extend(batch.deliverable);
         let starts = batch.starts.into_iter();
-        starts.filter_map(|(life, task, run)| self.start(&life, task, run, now)).collect()
+        starts
+            .filter_map(|(incarnation, task, run)| self.start(&incarnation, task, run, now))
+            .collect()
     }
 
-    /// The order that starts a run, if it is still wanted.
+    /// The order that starts a run, if the run is still wanted.
     pub(crate) fn start(
         &mut self,
-        life: &Incarnation,
+        incarnation: &Incarnation,
         task: TaskId,
         run: u32,
         now: u64,
     ) -> Option<Order> {
-        let worker = self.workers.get_mut(life)?;
-        let flight = worker.flights.get_mut(&task)?;
-        if flight.run != run || !matches!(flight.stage, Stage::Written | Stage::Unsure) {
+        let worker = self.workers.get_mut(incarnation)?;
+        let active = worker.flights.get_mut(&task)?;
+        if active.run != run || !matches!(active.stage, Stage::Written | Stage::Unsure) {
             return None;
         }
-        if self.shut_out(life, task, run, now) {
+        if self.withdraw_if_closed(incarnation, task, run, now) {
             return None;
         }
-        let flight = self.workers.get_mut(life)?.flights.get_mut(&task)?;
-        flight.enter(Stage::Sent, now);
+        let active = self.workers.get_mut(incarnation)?.flights.get_mut(&task)?;
+        active.enter(Stage::Sent, now);
         let job = self.jobs.get(&task.job)?;
         let saved = job.progress.task(task)?.saved.clone();
-        let ticket = job.ticket(task, life, now);
+        let ticket = job.ticket(task, incarnation, now);
         self.counts.starts += 1;
         let body = job.submission.spec.body.clone();
-        Some(Order::Start { worker: life.clone(), task, run, body, saved, ticket })
+        Some(Order::Start { worker: incarnation.clone(), task, run, body, saved, ticket })
     }
 }
--- a/crates/owner/src/orders/flight.rs
+++ b/crates/owner/src/orders/flight.rs
@@ -1,82 +1,84 @@
-//! Runs as the owner sees them on workers.
+//! Runs as the owner tracks them on workers.
 
 use std::sync::Arc;
 
 use myrtle_base::Room;
 use myrtle_job::{Running, StepSpec};
 
-/// How far a run has come.
+/// The stage of an active run.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Stage {
-    /// Its record is on the way to the log.
+    /// Its record is being written to the log.
     Written,
-    /// The worker is being told.
+    /// The start is being sent.
     Sent,
-    /// The worker was told and did not answer; it is told again.
+    /// The start got no reply; it is sent again.
     Unsure,
-    /// An earlier owner wrote it; the worker has not been asked yet.
+    /// An earlier owner wrote its record; the worker has not reported since.
     Inherited,
-    /// It is there.
+    /// The worker runs it.
     Up,
-    /// It is being told to stop.
+    /// The stop is being sent.
     Stopping,
-    /// The worker knows that it is to stop; its end is still to be listed.
+    /// The worker has confirmed the stop but not yet reported the end.
     Stopped,
 }
 
-/// One run on one worker.
+/// A run that the owner tracks on a worker.
 #[derive(Debug, Clone)]
 pub struct Flight {
     /// The run's number.
     pub run: u32,
-    /// How far it has come.
+    /// Its stage.
     pub stage: Stage,
     /// When that stage began.
     pub since: u64,
-    /// When it was first seen at work.
+    /// When it was first reported running.
     pub begun: Option<u64>,
-    /// Whether a start got no answer and may still be carried out.
+    /// Whether a start got no reply and may still be carried out.
     pub unanswered: bool,
     /// Whether its task may have crashed a worker before.
     pub suspect: bool,
-    /// What it counts against the worker's room.
+    /// The room that it claims.
     pub claim: Room,
-    /// What it would like of the processors, in thousandths of a core.
+    /// The processors that it asks for, in thousandths of a core.
     pub cpu: u32,
-    /// What it runs.
+    /// The image that it runs.
     pub image: Option<Arc<str>>,
-    /// The tail latency that it should keep, in milliseconds.
+    /// The target of its tail latency, in milliseconds.
     pub target: Option<u32>,
-    /// Whether it takes what others leave.
+    /// Whether it is a filler.
     pub filler: bool,
-    /// Whether it goes on until its job is cancelled.
+    /// Whether it is long-running.
     pub lasting: bool,
     /// Whether copies may run beside it.
     pub copies: bool,
     /// Whether it saves checkpoints.
     pub saves: bool,
-    /// The guess of its time.
+    /// The estimate of its run time, in milliseconds.
     pub estimate: u64,
-    /// How much of the work is done, in percent.
+    /// How much of the work is done, in percent; for serving tasks 100 means ready.
     pub percent: f64,
-    /// When that last changed, or its pace was last set.
-    pub moved: u64,
-    /// The newest figure: tail latency in milliseconds, else thousandths of a core in use.
+    /// When `percent` last changed or the speed limit was last set.
+    pub changed_at: u64,
+    /// The latest reported figure: tail latency in milliseconds if it serves requests, else the use
+    /// of processors in thousandths of a core.
     pub figure: f64,
-    /// The share of its speed that it was last told, in percent.
+    /// The speed limit that it was last given, in percent.
     pub pace: u32,
-    /// Whether the worker may not have heard of that.
-    pub unsure: bool,
-    /// Since when it has been over its target.
+    /// Whether the worker has not confirmed that limit.
+    pub unconfirmed: bool,
+    /// Since when its tail latency has exceeded its target.
     pub over: Option<u64>,
-    /// How hard its own load and what fills beside it pressed on its tail in the last window, 0 to 1.
+    /// The pressure on its tail latency in the last window, from its own load and the fillers
+    /// beside it, 0 to 1.
     pub pressure: Option<f64>,
-    /// The highest figure at full speed; read of fillers only.
-    pub most: f64,
+    /// The highest figure at full speed; only fillers use it.
+    pub peak: f64,
 }
 
 impl Flight {
-    /// A run of a task of `spec` that begins its life in `stage`.
+    /// A run of a task of `spec` that starts in `stage`.
     pub fn new(run: u32, spec: &StepSpec, stage: Stage, now: u64) -> Self {
         Self {
             run,
@@ -95,23 +97,23 @@
             saves: spec.saves,
             estimate: spec.estimate,
             percent: 0.0,
-            moved: now,
+            changed_at: now,
             figure: 0.0,
             pace: 100,
-            unsure: false,
+            unconfirmed: false,
             over: None,
             pressure: None,
-            most: 0.0,
+            peak: 0.0,
         }
     }
 
-    /// Moves on to another stage.
+    /// Moves to another stage.
     pub fn enter(&mut self, stage: Stage, now: u64) {
         self.stage = stage;
         self.since = now;
     }
 
-    /// Takes in what the worker says of the run; true if its figure has changed.
+    /// Applies the worker's report of the run; true if its figure has changed.
     pub(crate) fn show(&mut self, running: &Running, now: u64) -> bool {
         if matches!(self.stage, Stage::Sent | Stage::Unsure | Stage::Inherited) {
             self.enter(Stage::Up, now);
@@ -121,21 +123,21 @@
         }
         if running.percent != self.percent {
             self.percent = running.percent;
-            self.moved = now;
+            self.changed_at = now;
         }
         let figure = running.figure.unwrap_or(0.0);
         let changed = figure != self.figure;
         if changed {
             self.figure = figure;
             if self.pace == 100 {
-                self.most = self.most.max(figure);
+                self.peak = self.peak.max(figure);
             }
         }
         changed
     }
 
-    /// The processors that a filler draws at full speed, in thousandths of a core.
-    pub(crate) fn draw(&self) -> f64 {
-        if self.most > 0.0 { self.most } else { f64::from(self.cpu) }
+    /// The processors that a filler uses at full speed, in thousandths of a core.
+    pub(crate) fn demand(&self) -> f64 {
+        if self.peak > 0.0 { self.peak } else { f64::from(self.cpu) }
     }
 }
--- a/crates/owner/src/orders/flights.rs
+++ b/crates/owner/src/orders/flights.rs
@@ -1,4 +1,4 @@
-//! The runs on one worker, with sums over them that are kept until one changes.
+//! The active runs on one worker, with sums over them that are cached until one changes.
 
 use std::cell::Cell as Kept;
 use std::collections::{BTreeMap, btree_map};
@@ -9,39 +9,39 @@
 
 use crate::Flight;
 
-/// The share of its processors that a serving task uses in the mean, by what fillers were seen to
-/// get beside them.
+/// The share of its processors that a serving task uses on average, judged by what fillers got
+/// beside them.
 const SERVING_USE: f64 = 0.5;
 
-/// The runs on one worker.
+/// The active runs on one worker.
 ///
-/// Every task that waits looks at every worker, so what its runs ask for together is kept: else a pass over a full
-/// cell takes twice as long (`benches/plan.rs`).
+/// Placing looks at every worker for every waiting task, so the sums over a worker's runs are
+/// cached; without that a pass over a full cell takes twice as long (`benches/plan.rs`).
 #[derive(Debug, Clone, Default)]
 pub struct Flights {
     by_task: BTreeMap<TaskId, Flight>,
     sums: Kept<Option<Sums>>,
 }
 
-/// What the runs on a worker come to together.
+/// The sums over the active runs on a worker.
 #[derive(Debug, Clone, Copy, Default)]
 pub(crate) struct Sums {
-    /// What they count against its room.
-    pub(crate) used: Room,
-    /// The processors that those which are no fillers use in the mean, in thousandths of a core.
-    pub(crate) taken: f64,
-    /// The processors that fillers ask for at their paces, in thousandths of a core.
-    pub(crate) filled: f64,
-    /// Whether a lasting task is among them.
-    pub(crate) lasts: bool,
-    /// Whether a task is among them that may have crashed a worker.
-    pub(crate) suspects: bool,
-    /// Since when the one has been over its target that has been so for longest.
-    pub(crate) over: Option<u64>,
+    /// The room that they claim.
+    pub(crate) claimed: Room,
+    /// The processors that runs other than fillers use on average, in thousandths of a core.
+    pub(crate) non_fillers: f64,
+    /// The processors that fillers ask for at their speed limits, in thousandths of a core.
+    pub(crate) fillers: f64,
+    /// Whether one of them is long-running.
+    pub(crate) long_running: bool,
+    /// Whether one of the tasks may have crashed a worker.
+    pub(crate) suspect: bool,
+    /// Since when a task has exceeded its target: the earliest such time.
+    pub(crate) over_since: Option<u64>,
 }
 
 impl Flights {
-    /// What the runs come to together.
+    /// The sums, computed if a run has changed.
     pub(crate) fn sums(&self) -> Sums {
         if let Some(sums) = self.sums.get() {
             return sums;
@@ -53,21 +53,21 @@
 }
 
 impl Sums {
-    /// The sums with one run more.
-    fn with(self, flight: &Flight) -> Self {
-        let cpu = f64::from(flight.cpu);
-        let (taken, filled) = match (flight.filler, flight.target) {
-            (true, _) => (0.0, cpu * f64::from(flight.pace) / 100.0),
+    /// The sums with one more run.
+    fn with(self, active: &Flight) -> Self {
+        let cpu = f64::from(active.cpu);
+        let (non_fillers, fillers) = match (active.filler, active.target) {
+            (true, _) => (0.0, cpu * f64::from(active.pace) / 100.0),
             (false, Some(_)) => (cpu * SERVING_USE, 0.0),
             (false, None) => (cpu, 0.0),
         };
         Self {
-            used: self.used + flight.claim,
-            taken: self.taken + taken,
-            filled: self.filled + filled,
-            lasts: self.lasts || flight.lasting,
-            suspects: self.suspects || flight.suspect,
-            over: self.over.into_iter().chain(flight.over).min(),
+            claimed: self.claimed + active.claim,
+            non_fillers: self.non_fillers + non_fillers,
+            fillers: self.fillers + fillers,
+            long_running: self.long_running || active.lasting,
+            suspect: self.suspect || active.suspect,
+            over_since: self.over_since.into_iter().chain(active.over).min(),
         }
     }
 }
--- a/crates/owner/src/orders/limbo.rs
+++ b/crates/owner/src/orders/limbo.rs
@@ -1,31 +1,34 @@
-//! Runs of which nothing is heard: each should be on its way for moments only.
+//! Counts runs whose state the owner can't confirm: a run should be in transit to or from a worker
+//! only briefly.
 
 use derive_more::Display;
 
 use crate::{Cell, Stage};
 
-/// How long a run may be on its way to a worker, or off it, in milliseconds; many times what it takes.
-const UNHEARD: u64 = 3_000;
+/// How long a run may be in transit to a worker, or from it, in milliseconds; many times the usual
+/// time.
+const TRANSIT_LIMIT: u64 = 3_000;
 
-/// How many runs are in no known state.
+/// Numbers of runs whose state is not confirmed.
 #[derive(Debug, Default, Clone, Copy, PartialEq, Eq, Display)]
 #[display("unheard={unheard} adrift={adrift}")]
 pub struct Limbo {
-    /// Runs that have been on their way to a worker, or off it, for long.
+    /// Runs that have been in transit for longer than the bound.
     pub unheard: usize,
-    /// Runs that jobs hold for live though no worker has them.
+    /// Runs that jobs list as live though no worker has them.
     pub adrift: usize,
 }
 
 impl Cell {
-    /// How many runs are in no known state now.
+    /// Counts the runs whose state is not confirmed now.
     pub fn limbo(&self, now: u64) -> Limbo {
         let flights = self.workers.values().flat_map(|w| w.flights.values());
-        let unheard = flights.filter(|f| f.stage != Stage::Up && now > f.since + UNHEARD).count();
+        let unheard =
+            flights.filter(|f| f.stage != Stage::Up && now > f.since + TRANSIT_LIMIT).count();
         let runs = self.jobs.iter().flat_map(|(&id, job)| job.runs(id));
         let adrift = runs.filter(|(task, run)| {
-            let flight = self.workers.get(&run.worker).and_then(|w| w.flights.get(task));
-            flight.is_none_or(|f| f.run != run.number)
+            let active = self.workers.get(&run.worker).and_then(|w| w.flights.get(task));
+            active.is_none_or(|f| f.run != run.number)
         });
         Limbo { unheard, adrift: adrift.count() }
     }
--- a/crates/owner/src/orders/order.rs
+++ b/crates/owner/src/orders/order.rs
@@ -1,13 +1,13 @@
-//! What is to be told to workers, and what came of it.
+//! Orders to workers, and their outcomes.
 
 use std::sync::Arc;
 
 use myrtle_job::{Incarnation, Successor, TaskId, Told};
 
-/// Something to tell a worker.
+/// An order to a worker.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Order {
-    /// To start a run.
+    /// Starts a run.
     Start {
         /// The worker.
         worker: Incarnation,
@@ -15,14 +15,14 @@
         task: TaskId,
         /// The run's number.
         run: u32,
-        /// The text of the job.
+        /// The body of the job.
         body: Arc<str>,
-        /// Where to go on from, empty for the beginning.
+        /// The checkpoint to resume from, empty for a start from the beginning.
         saved: String,
         /// The ticket, on queues that need one.
         ticket: Option<Arc<str>>,
     },
-    /// To stop a run, or to bar it if it is not there yet.
+    /// Stops a run, or bars it if it has not started yet.
     Stop {
         /// The worker.
         worker: Incarnation,
@@ -31,7 +31,7 @@
         /// The run's number.
         run: u32,
     },
-    /// To let a run work at a share of its speed.
+    /// Sets a run's speed limit.
     Pace {
         /// The worker.
         worker: Incarnation,
@@ -39,13 +39,13 @@
         task: TaskId,
         /// The run's number.
         run: u32,
-        /// The share in percent.
+        /// The share of full speed, in percent.
         percent: u32,
     },
 }
 
 impl Order {
-    /// Whom it is for.
+    /// The worker that receives the order.
     pub fn worker(&self) -> &Incarnation {
         match self {
             Self::Start { worker, .. } | Self::Stop { worker, .. } | Self::Pace { worker, .. } => {
@@ -55,17 +55,17 @@
     }
 }
 
-/// What came of an order.
+/// The outcome of an order.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Outcome {
-    /// The worker's word.
+    /// The worker replied.
     Told(Told),
-    /// Another incarnation, or another worker, answered; the intended one is gone.
+    /// Another incarnation, or another worker, replied; the intended one is gone.
     Replaced(Successor),
-    /// The worker is unwell and did nothing.
+    /// The worker is unhealthy and did nothing.
     Unwell,
-    /// It was not sent.
+    /// The order was not sent.
     Unsent,
-    /// It may have been carried out, or may be later.
+    /// The order may have been carried out, or may be later.
     Unknown,
 }
--- /dev/null
+++ b/crates/owner/src/orders/replies.rs
@@ -0,0 +1,211 @@
+//! Handles workers' replies to orders, and orders that got none.
+
+use log::{info, warn};
+
+use myrtle_job::{Incarnation, TaskId, Told};
+
+use crate::{Cell, Life, Order, Outcome, Stage};
+
+/// The pause before an order without reply is sent again, in milliseconds: longer than most replies
+/// take, far shorter than a task.
+const RESEND_AFTER: u64 = 150;
+
+/// The backoff of a worker without room, in milliseconds: by then its next lease renewal reports
+/// its room.
+const FULL_BACKOFF: u64 = 40;
+
+/// The backoff of an unhealthy worker, in milliseconds.
+const UNHEALTHY_BACKOFF: u64 = 1_000;
+
+/// The pause before a refused task is tried again, in milliseconds.
+const REFUSED_PAUSE: u64 = 10;
+
+impl Cell {
+    /// Handles the outcome of a start; true if it was refused because of a successor of this owner.
+    pub fn start_told(
+        &mut self,
+        incarnation: &Incarnation,
+        task: TaskId,
+        run: u32,
+        outcome: Outcome,
+        now: u64,
+    ) -> bool {
+        if outcome != Outcome::Told(Told::Done) {
+            info!(
+                "event=start-told task={task} run={run} worker={incarnation} outcome={outcome:?}"
+            );
+        }
+        match outcome {
+            Outcome::Told(Told::Done) => self.started(incarnation, task, run, now),
+            Outcome::Told(Told::Fenced) => return true,
+            Outcome::Replaced(by) => self.replaced(incarnation, by, now),
+            // The run has been there: the worker's reports show how it ended.
+            Outcome::Told(Told::Old) => self.started(incarnation, task, run, now),
+            Outcome::Told(reply) => self.refused(incarnation, task, run, reply, now),
+            Outcome::Unwell => {
+                self.back_off(incarnation, now + UNHEALTHY_BACKOFF);
+                self.retract(incarnation, task, run, now);
+            }
+            Outcome::Unsent => self.mark_unanswered(incarnation, task, run, false, now),
+            Outcome::Unknown => self.mark_unanswered(incarnation, task, run, true, now),
+        }
+        false
+    }
+
+    /// Handles the outcome of a stop; true if it was refused because of a successor of this owner.
+    pub fn stop_told(
+        &mut self,
+        incarnation: &Incarnation,
+        task: TaskId,
+        run: u32,
+        outcome: Outcome,
+        now: u64,
+    ) -> bool {
+        if outcome == Outcome::Told(Told::Fenced) {
+            return true;
+        }
+        if let Outcome::Replaced(by) = outcome {
+            self.replaced(incarnation, by, now);
+            return false;
+        }
+        let Some(worker) = self.workers.get_mut(incarnation) else {
+            return false;
+        };
+        let Some(active) = worker.flights.get_mut(&task).filter(|f| f.run == run) else {
+            return false;
+        };
+        match outcome {
+            Outcome::Told(_) => active.enter(Stage::Stopped, now),
+            // Sent again by `repeat`, at the earliest after the usual pause.
+            _ => active.since = now,
+        }
+        false
+    }
+
+    /// Whether a queued order is still to be sent: meanwhile its run may have become needless, its
+    /// worker's room may have shrunk, its worker may have begun to leave, or its data centre may
+    /// have begun to be evacuated.
+    pub fn stands(&mut self, order: &Order, now: u64) -> bool {
+        let Order::Start { worker, task, run, .. } = order else {
+            return true;
+        };
+        let active = self.workers.get(worker).and_then(|w| w.flights.get(task));
+        active.is_some_and(|f| f.run == *run && f.stage == Stage::Sent)
+            && !self.withdraw_if_closed(worker, *task, *run, now)
+    }
+
+    /// Returns the orders without reply that are due to be sent again.
+    pub fn repeat(&mut self, now: u64) -> Vec<Order> {
+        let mut orders = Vec::new();
+        let mut starts = Vec::new();
+        for (incarnation, worker) in self.workers.iter_mut().filter(|(_, w)| w.life == Life::Well) {
+            for (&task, active) in &mut worker.flights {
+                if now < active.since + RESEND_AFTER {
+                    continue;
+                }
+                match active.stage {
+                    Stage::Unsure => starts.push((incarnation.clone(), task, active.run)),
+                    Stage::Stopping if now >= active.since + 3 * RESEND_AFTER => {
+                        active.since = now;
+                        orders.push(Order::Stop {
+                            worker: incarnation.clone(),
+                            task,
+                            run: active.run,
+                        });
+                    }
+                    _ => {}
+                }
+            }
+        }
+        let starts = starts.into_iter();
+        orders.extend(
+            starts.filter_map(|(incarnation, task, run)| self.start(&incarnation, task, run, now)),
+        );
+        orders
+    }
+
+    fn started(&mut self, incarnation: &Incarnation, task: TaskId, run: u32, now: u64) {
+        let Some(worker) = self.workers.get_mut(incarnation) else {
+            return;
+        };
+        worker.heard = now;
+        if let Some(active) = worker.flights.get_mut(&task)
+            && active.run == run
+            && matches!(active.stage, Stage::Sent | Stage::Unsure)
+        {
+            active.enter(Stage::Up, now);
+            active.begun = active.begun.or(Some(now));
+            self.begun(task);
+        }
+    }
+
+    fn refused(
+        &mut self,
+        incarnation: &Incarnation,
+        task: TaskId,
+        run: u32,
+        reply: Told,
+        now: u64,
+    ) {
+        self.counts.refused += 1;
+        match reply {
+            Told::Full => self.back_off(incarnation, now + FULL_BACKOFF),
+            Told::Bad => warn!("event=start-bad task={task} run={run} worker={incarnation}"),
+            Told::Ticket => {
+                if let Some(job) = self.jobs.get_mut(&task.job) {
+                    job.tickets.remove(&(task.round, task.step));
+                }
+            }
+            _ => {}
+        }
+        self.retract(incarnation, task, run, now);
+    }
+
+    /// Handles a run that was refused: it never starts under this number unless an earlier order is
+    /// still under way; in that case it is stopped first.
+    pub(crate) fn retract(&mut self, incarnation: &Incarnation, task: TaskId, run: u32, now: u64) {
+        let Some(worker) = self.workers.get_mut(incarnation) else {
+            return;
+        };
+        if let Some(active) = worker.flights.get(&task).filter(|f| f.run == run) {
+            if active.unanswered {
+                return self.halt(incarnation, task, run, now);
+            }
+            worker.flights.remove(&task);
+            self.forget_run(task, run);
+            if let Some(job) = self.jobs.get_mut(&task.job) {
+                job.retry.insert(task, now + REFUSED_PAUSE);
+            }
+        }
+    }
+
+    /// Marks a start that got no reply; it is sent again.
+    fn mark_unanswered(
+        &mut self,
+        incarnation: &Incarnation,
+        task: TaskId,
+        run: u32,
+        sent: bool,
+        now: u64,
+    ) {
+        let Some(worker) = self.workers.get_mut(incarnation) else {
+            return;
+        };
+        if let Some(active) = worker.flights.get_mut(&task)
+            && active.run == run
+            && active.stage == Stage::Sent
+        {
+            active.enter(Stage::Unsure, now);
+            active.unanswered |= sent;
+            if sent {
+                worker.note_unanswered(task, run, now);
+            }
+        }
+    }
+
+    pub(crate) fn back_off(&mut self, incarnation: &Incarnation, until: u64) {
+        if let Some(worker) = self.workers.get_mut(incarnation) {
+            worker.backoff_until = worker.backoff_until.max(until);
+        }
+    }
+}
--- a/crates/owner/src/workers/crash.rs
+++ b/crates/owner/src/workers/crash.rs
@@ -43,11 +43,11 @@
 /// How long after the list could not be read an entry may be out of date, in milliseconds.
 const BLIND: u64 = 3_000;
 
-/// Why a life of a worker is taken to be over.
+/// Why a incarnation of a worker is taken to be over.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Display)]
 pub(crate) enum Cause {
-    /// Another life answers where it was, or its machine is going down.
-    #[display("another life answers at its address")]
+    /// Another incarnation answers where it was, or its machine is going down.
+    #[display("another incarnation answers at its address")]
     Succeeded,
     /// The worker has started anew under its id.
     #[display("it has started anew")]
@@ -61,7 +61,7 @@
 #[derive(Debug, Clone)]
 pub(crate) struct Silence {
     /// The worker.
-    life: Incarnation,
+    incarnation: Incarnation,
     /// When it did.
     at: u64,
     /// Whether nothing had just begun there.
@@ -70,29 +70,29 @@
 
 impl Cell {
     /// Notes that a worker does not answer any more, or never has.
-    pub(crate) fn note_silence(&mut self, life: &Incarnation, now: u64) {
+    pub(crate) fn note_silence(&mut self, incarnation: &Incarnation, now: u64) {
         self.silences.retain(|s| now < s.at + REMEMBERED);
-        let Some(worker) = self.workers.get(life) else {
+        let Some(worker) = self.workers.get(incarnation) else {
             return;
         };
-        if self.silent(life) {
+        if self.silent(incarnation) {
             return;
         }
         // Those that were not met may have been lost together before this owner began.
         let met = worker.life != Life::Unmet;
         let plain = !met || !worker.flights.values().any(|f| fresh(f, worker.heard));
         let at = if met { now } else { self.began };
-        self.silences.push(Silence { life: life.clone(), at, plain });
+        self.silences.push(Silence { incarnation: incarnation.clone(), at, plain });
     }
 
     /// Whether a worker is known not to answer.
-    pub(crate) fn silent(&self, life: &Incarnation) -> bool {
-        self.silences.iter().any(|s| s.life == *life)
+    pub(crate) fn silent(&self, incarnation: &Incarnation) -> bool {
+        self.silences.iter().any(|s| s.incarnation == *incarnation)
     }
 
     /// Notes that a worker which was silent answers again.
-    pub(crate) fn note_word(&mut self, life: &Incarnation) {
-        self.silences.retain(|s| s.life != *life);
+    pub(crate) fn clear_silence(&mut self, incarnation: &Incarnation) {
+        self.silences.retain(|s| s.incarnation != *incarnation);
     }
 
     /// Counts the loss of a worker against the tasks that ran there, before any of them is started
@@ -102,28 +102,28 @@
     /// times in two minutes, with 6 to 18 runs of others lost each time.
     pub(crate) fn count_crash(
         &mut self,
-        life: &Incarnation,
+        incarnation: &Incarnation,
         flights: &[(TaskId, Flight)],
         heard: u64,
     ) {
-        let silent = self.lost_alone(life);
+        let silent = self.lost_alone(incarnation);
         let alone = silent.is_some();
         // Tried by itself, and the worker is gone again: that is the one, and the others are cleared.
         let tried = |f: &Flight| f.suspect && f.begun.is_some() && fresh(f, heard);
         let again = alone && flights.iter().any(|(_, f)| tried(f));
-        for (task, flight) in flights.iter().filter(|(_, f)| told(f)) {
-            let fresh = fresh(flight, heard);
-            let age = flight.begun.map_or(0, |begun| silent.unwrap_or(heard).saturating_sub(begun));
+        for (task, active) in flights.iter().filter(|(_, f)| told(f)) {
+            let fresh = fresh(active, heard);
+            let age = active.begun.map_or(0, |begun| silent.unwrap_or(heard).saturating_sub(begun));
             if age >= TRUSTED {
                 self.clear(*task);
             } else if fresh || !again {
-                self.count_loss(life, *task, Loss { age: age as u32, fresh, alone });
+                self.count_loss(incarnation, *task, Loss { age: age as u32, fresh, alone });
             }
         }
     }
 
     /// Counts one loss against a task.
-    fn count_loss(&mut self, life: &Incarnation, task: TaskId, loss: Loss) {
+    fn count_loss(&mut self, incarnation: &Incarnation, task: TaskId, loss: Loss) {
         let Some(job) = self.jobs.get_mut(&task.job) else {
             return;
         };
@@ -135,7 +135,9 @@
         crashes.count(loss);
         let Crashes { seen, doubts, .. } = *crashes;
         if doubts > before {
-            info!("event=task-doubted task={task} worker={life} doubts={doubts} seen={seen}");
+            info!(
+                "event=task-doubted task={task} worker={incarnation} doubts={doubts} seen={seen}"
+            );
         }
         if crashes.too_many() {
             self.doomed.insert(task);
@@ -153,8 +155,8 @@
     }
 
     /// When a worker that is lost went silent; nothing if it was one of many that did.
-    fn lost_alone(&self, life: &Incarnation) -> Option<u64> {
-        let own = self.silences.iter().find(|s| s.life == *life)?;
+    fn lost_alone(&self, incarnation: &Incarnation) -> Option<u64> {
+        let own = self.silences.iter().find(|s| s.incarnation == *incarnation)?;
         let near = self.silences.iter().filter(|s| s.at.abs_diff(own.at) <= TOGETHER);
         let (all, plain) =
             near.fold((0, 0), |(all, plain), s| (all + 1, plain + usize::from(s.plain)));
@@ -185,8 +187,8 @@
     }
 
     /// A run is at work: after long enough its task is trusted again.
-    pub(crate) fn trust(&mut self, life: &Incarnation, task: TaskId, now: u64) {
-        let worker = self.workers.get(life);
+    pub(crate) fn trust(&mut self, incarnation: &Incarnation, task: TaskId, now: u64) {
+        let worker = self.workers.get(incarnation);
         let begun = worker.and_then(|w| w.flights.get(&task)).and_then(|f| f.begun);
         if begun.is_some_and(|at| now >= at + TRUSTED) {
             self.clear(task);
@@ -219,7 +221,7 @@
         waited: u64,
         now: u64,
     ) -> bool {
-        if !worker.flights.sums().suspects {
+        if !worker.flights.sums().suspect {
             return false;
         }
         let patience = if suspect { LONG_PATIENCE } else { PATIENCE };
@@ -234,8 +236,13 @@
 impl Cell {
     /// Whether a lost worker may have crashed: it was not about to leave, and it is not one that the list
     /// still shows after its leases, which lives and is cut off from here.
-    pub(crate) fn may_have_crashed(&self, life: &Incarnation, cause: Cause, now: u64) -> bool {
-        let Some(worker) = self.workers.get(life) else {
+    pub(crate) fn may_have_crashed(
+        &self,
+        incarnation: &Incarnation,
+        cause: Cause,
+        now: u64,
+    ) -> bool {
+        let Some(worker) = self.workers.get(incarnation) else {
             return false;
         };
         let cut = cause == Cause::Lapsed && worker.listed && now >= self.blind + BLIND;
@@ -251,19 +258,19 @@
 
     /// Whether its loss is no crash: it was about to leave, or is being emptied for its upkeep.
     pub(crate) fn parts(&self) -> bool {
-        let left = !self.listed && self.unlisted <= self.heard && self.life != Life::Unmet;
-        self.draining() || self.closing || left
+        let left = !self.listed && self.unlisted_at <= self.heard && self.life != Life::Unmet;
+        self.draining() || self.in_maintenance || left
     }
 }
 
 /// Whether a run may ever have begun.
-fn told(flight: &Flight) -> bool {
+fn told(active: &Flight) -> bool {
     // One that is being stopped may still be there: of a gang, the others stop when one is lost.
-    let sent = !matches!(flight.stage, Stage::Written | Stage::Unsure);
-    sent || flight.begun.is_some() || flight.unanswered
+    let sent = !matches!(active.stage, Stage::Written | Stage::Unsure);
+    sent || active.begun.is_some() || active.unanswered
 }
 
 /// Whether a run may have begun just before its worker's last word, or after it.
-fn fresh(flight: &Flight, heard: u64) -> bool {
-    told(flight) && flight.begun.is_none_or(|begun| heard <= begun + FRESH)
+fn fresh(active: &Flight, heard: u64) -> bool {
+    told(active) && active.begun.is_none_or(|begun| heard <= begun + FRESH)
 }
--- a/crates/owner/src/workers/drain.rs
+++ b/crates/owner/src/workers/drain.rs
@@ -24,29 +24,31 @@
         self.note_leaving(now);
         let mut moves: Vec<(Incarnation, TaskId, u32)> = Vec::new();
         let well = self.workers.iter().filter(|(_, w)| w.life == Life::Well);
-        for (life, worker) in well.filter(|(_, w)| w.leaving) {
+        for (incarnation, worker) in well.filter(|(_, w)| w.leaving) {
             let left = worker.leaves.map(|l| l.saturating_sub(now));
-            for (&task, flight) in worker.flights.iter().filter(|(_, f)| f.stage == Stage::Up) {
-                if flight.lasting {
+            for (&task, active) in worker.flights.iter().filter(|(_, f)| f.stage == Stage::Up) {
+                if active.lasting {
                     let moving = moves.iter().any(|(_, t, _)| step_of(*t) == step_of(task));
                     // What is about to die there is away in any case: stopped, it is known to be.
                     let last = left.is_some_and(|l| l <= self.bounds.stop + SLACK);
                     if last || self.may_move(task, now) && !moving {
-                        moves.push((life.clone(), task, flight.run));
+                        moves.push((incarnation.clone(), task, active.run));
                     }
                     continue;
                 }
-                let share = 1.0 - flight.percent / 100.0;
-                let rest = (flight.estimate as f64 * share) as u64;
-                if left.is_some_and(|l| rest + self.bounds.stop + SLACK > l) && flight.saves {
-                    moves.push((life.clone(), task, flight.run));
+                let share = 1.0 - active.percent / 100.0;
+                let rest = (active.estimate as f64 * share) as u64;
+                if left.is_some_and(|l| rest + self.bounds.stop + SLACK > l) && active.saves {
+                    moves.push((incarnation.clone(), task, active.run));
                 }
             }
         }
-        for (life, task, run) in moves {
-            info!("event=move task={task} run={run} worker={life} reason=\"the worker leaves\"");
+        for (incarnation, task, run) in moves {
+            info!(
+                "event=move task={task} run={run} worker={incarnation} reason=\"the worker leaves\""
+            );
             self.counts.moved += 1;
-            self.halt(&life, task, run, now);
+            self.halt(&incarnation, task, run, now);
         }
     }
 
@@ -54,9 +56,9 @@
     fn note_leaving(&mut self, now: u64) {
         let well = self.workers.iter().filter(|(_, w)| w.life == Life::Well);
         let news = well.filter(|(_, w)| self.leaves(w, now) != w.leaving);
-        let news: Vec<Incarnation> = news.map(|(life, _)| life.clone()).collect();
-        for life in news {
-            if let Some(worker) = self.workers.get_mut(&life) {
+        let news: Vec<Incarnation> = news.map(|(incarnation, _)| incarnation.clone()).collect();
+        for incarnation in news {
+            if let Some(worker) = self.workers.get_mut(&incarnation) {
                 worker.leaving = !worker.leaving;
             }
         }
@@ -67,36 +69,38 @@
     fn leaves(&self, worker: &Worker, now: u64) -> bool {
         let unlisted = !worker.listed && worker.listing.is_some();
         worker.draining()
-            || unlisted && now >= worker.unlisted + UNLISTED_FOR && now >= self.blind + BACK_WITHIN
+            || unlisted
+                && now >= worker.unlisted_at + UNLISTED_FOR
+                && now >= self.blind + BACK_WITHIN
     }
 
     /// Moves runs off a worker; true once nothing is left there.
-    pub(crate) fn empty(&mut self, life: &Incarnation, urgent: bool, now: u64) -> bool {
-        let Some(worker) = self.workers.get(life) else {
+    pub(crate) fn empty(&mut self, incarnation: &Incarnation, urgent: bool, now: u64) -> bool {
+        let Some(worker) = self.workers.get(incarnation) else {
             return true;
         };
         if worker.flights.is_empty() {
             return true;
         }
         let mut moves: Vec<(TaskId, u32)> = Vec::new();
-        for (&task, flight) in worker.flights.iter().filter(|(_, f)| f.stage == Stage::Up) {
-            let free = match flight.lasting {
+        for (&task, active) in worker.flights.iter().filter(|(_, f)| f.stage == Stage::Up) {
+            let free = match active.lasting {
                 true => {
                     let moving = moves.iter().any(|(t, _)| step_of(*t) == step_of(task));
                     !moving && self.may_move(task, now)
                 }
-                false => flight.saves || urgent,
+                false => active.saves || urgent,
             };
             if free {
-                moves.push((task, flight.run));
+                moves.push((task, active.run));
             }
         }
         for (task, run) in moves {
             info!(
-                "event=move task={task} run={run} worker={life} reason=\"upkeep of its machine\""
+                "event=move task={task} run={run} worker={incarnation} reason=\"upkeep of its machine\""
             );
             self.counts.moved += 1;
-            self.halt(life, task, run, now);
+            self.halt(incarnation, task, run, now);
         }
         false
     }
@@ -119,8 +123,8 @@
                 return job.handed_lately(now);
             }
             !t.live.iter().any(|r| {
-                let flight = self.workers.get(&r.worker).and_then(|w| w.flights.get(&id));
-                flight.is_some_and(|f| f.stage == Stage::Up && f.percent >= 100.0)
+                let active = self.workers.get(&r.worker).and_then(|w| w.flights.get(&id));
+                active.is_some_and(|f| f.stage == Stage::Up && f.percent >= 100.0)
             })
         });
         away.count() < usize::from(most)
--- a/crates/owner/src/workers/health.rs
+++ b/crates/owner/src/workers/health.rs
@@ -28,23 +28,23 @@
 
 impl Cell {
     /// Counts how a run ended for or against its worker.
-    pub(crate) fn judge(&mut self, life: &Incarnation, how: How, task: TaskId, now: u64) {
-        let Some(worker) = self.workers.get_mut(life) else {
+    pub(crate) fn judge(&mut self, incarnation: &Incarnation, how: How, task: TaskId, now: u64) {
+        let Some(worker) = self.workers.get_mut(incarnation) else {
             return;
         };
         match how {
             How::Done => {
                 worker.fails = 0;
-                worker.strikes = 0;
+                worker.backoffs = 0;
             }
             How::Failed => {
                 worker.fails += 1;
                 if worker.fails >= FAILS {
                     worker.fails = FAILS - 1;
-                    let pause = (FIRST_PAUSE << worker.strikes.min(4)).min(LONGEST_PAUSE);
-                    worker.strikes += 1;
-                    warn!("event=worker-failing worker={life} task={task} pause_ms={pause}");
-                    self.set_aside(life, now + pause);
+                    let pause = (FIRST_PAUSE << worker.backoffs.min(4)).min(LONGEST_PAUSE);
+                    worker.backoffs += 1;
+                    warn!("event=worker-failing worker={incarnation} task={task} pause_ms={pause}");
+                    self.back_off(incarnation, now + pause);
                 }
             }
             _ => {}
@@ -52,8 +52,8 @@
     }
 
     /// Stops what stands still on a worker, so that it goes on elsewhere.
-    pub(crate) fn notice(&mut self, life: &Incarnation, now: u64) {
-        let Some(worker) = self.workers.get(life) else {
+    pub(crate) fn notice(&mut self, incarnation: &Incarnation, now: u64) {
+        let Some(worker) = self.workers.get(incarnation) else {
             return;
         };
         let still: Vec<_> = worker
@@ -63,22 +63,22 @@
             .filter(|(_, f)| !f.lasting || f.percent < 100.0)
             .filter(|(_, f)| {
                 let patience = STILL.max(f.estimate / STILL_SHARE);
-                now.saturating_sub(f.moved.max(f.since)) > patience
+                now.saturating_sub(f.changed_at.max(f.since)) > patience
             })
             .map(|(&task, f)| (task, f.run, f.percent, f.figure, f.filler))
             .collect();
         for (task, run, percent, figure, filler) in still {
             warn!(
-                "event=run-still task={task} run={run} worker={life} percent={percent} figure={figure}"
+                "event=run-still task={task} run={run} worker={incarnation} percent={percent} figure={figure}"
             );
             if let Some(job) = self.jobs.get_mut(&task.job) {
-                job.shunned.entry(task).or_default().push(life.clone());
+                job.shunned.entry(task).or_default().push(incarnation.clone());
             }
             if !filler {
-                self.set_aside(life, now + FIRST_PAUSE);
+                self.back_off(incarnation, now + FIRST_PAUSE);
             }
             self.counts.moved += 1;
-            self.halt(life, task, run, now);
+            self.halt(incarnation, task, run, now);
         }
     }
 }
--- a/crates/owner/src/workers/lease.rs
+++ b/crates/owner/src/workers/lease.rs
@@ -27,10 +27,10 @@
 }
 
 impl Cell {
-    /// What the next hold of a life has to say; nothing if it needs no hold any more.
-    pub fn hold_args(&mut self, life: &Incarnation, now: u64) -> Option<HoldArgs> {
-        let until = self.until(life, now);
-        let worker = self.workers.get(life)?;
+    /// What the next hold of a incarnation has to say; nothing if it needs no hold any more.
+    pub fn hold_args(&mut self, incarnation: &Incarnation, now: u64) -> Option<HoldArgs> {
+        let until = self.until(incarnation, now);
+        let worker = self.workers.get(incarnation)?;
         if worker.life == Life::Gone && !worker.listed {
             return None;
         }
@@ -43,9 +43,9 @@
     ///
     /// A worker that does not answer gets none: each one would put off the moment from which on
     /// its runs are surely over. Nor does one of which the log says that none has been given out.
-    pub fn until(&mut self, life: &Incarnation, now: u64) -> Option<u64> {
+    pub fn until(&mut self, incarnation: &Incarnation, now: u64) -> Option<u64> {
         let hold = self.bounds.hold;
-        let worker = self.workers.get_mut(life)?;
+        let worker = self.workers.get_mut(incarnation)?;
         if worker.life != Life::Well || worker.wait.bars() {
             return None;
         }
@@ -56,9 +56,9 @@
     }
 
     /// Notes a worker's clock from an answer that came at `now`.
-    pub(crate) fn tick_of(&mut self, life: &Incarnation, clock: u64, now: u64) {
+    pub(crate) fn tick_of(&mut self, incarnation: &Incarnation, clock: u64, now: u64) {
         let hold = self.bounds.hold;
-        let Some(worker) = self.workers.get_mut(life) else {
+        let Some(worker) = self.workers.get_mut(incarnation) else {
             return;
         };
         if worker.clock.is_none() {
@@ -80,15 +80,15 @@
             .filter(|(id, _)| self.lapsed(id, now))
             .map(|(id, _)| id.clone())
             .collect();
-        for life in over {
-            self.lose(&life, Cause::Lapsed, now);
+        for incarnation in over {
+            self.lose(&incarnation, Cause::Lapsed, now);
         }
         self.note_waits(now);
         let before = self.workers.len();
-        self.workers.retain(|life, w| {
+        self.workers.retain(|incarnation, w| {
             let kept = w.listed || w.life != Life::Gone;
-            if !kept && w.traced {
-                self.untraced.push(life.clone());
+            if !kept && w.logged {
+                self.untraced.push(incarnation.clone());
             }
             kept
         });
@@ -97,8 +97,8 @@
         }
     }
 
-    fn lapsed(&self, life: &Incarnation, now: u64) -> bool {
-        self.workers.get(life).is_none_or(|worker| now >= self.over_at(worker))
+    fn lapsed(&self, incarnation: &Incarnation, now: u64) -> bool {
+        self.workers.get(incarnation).is_none_or(|worker| now >= self.over_at(worker))
     }
 
     /// When every lease of a worker is surely over, if none is given out from now on.
--- a/crates/owner/src/workers/list.rs
+++ b/crates/owner/src/workers/list.rs
@@ -13,18 +13,18 @@
     /// has crashed may land after the first of the next, and what the log tells of a worker is older than either. Who is
     /// there is asked.
     pub fn list(&mut self, id: &str, listing: Listing, now: u64) {
-        let life = self.listed_as(id, listing.start);
-        if self.is_past(&life) {
-            return debug!("event=entry-past worker={life}");
+        let incarnation = self.listed_as(id, listing.start);
+        if self.is_past(&incarnation) {
+            return debug!("event=entry-past worker={incarnation}");
         }
-        self.comes_after_earlier(&life, listing.written, now);
-        let worker = self.workers.entry(life.clone()).or_insert_with(|| Worker::new(now));
+        self.comes_after_earlier(&incarnation, listing.written, now);
+        let worker = self.workers.entry(incarnation.clone()).or_insert_with(|| Worker::new(now));
         let news = worker.listing.as_ref().is_none_or(|l| l.draining != listing.draining);
         if news {
             let level = if listing.draining { Level::Info } else { Level::Debug };
             log!(
                 level,
-                "event=worker-listed worker={life} draining={} room=\"{}\" remaining_ms={:?}",
+                "event=worker-listed worker={incarnation} draining={} room=\"{}\" remaining_ms={:?}",
                 listing.draining,
                 listing.room,
                 listing.remaining
@@ -48,12 +48,13 @@
 
     /// The list no longer shows a worker; what runs there may go on.
     pub fn unlist(&mut self, id: &str, now: u64) {
-        let lives = self.of_id(id).filter(|(_, w)| w.listed).map(|(life, _)| life.clone());
-        for life in lives.collect::<Vec<_>>() {
-            if let Some(worker) = self.workers.get_mut(&life) {
+        let lives =
+            self.of_id(id).filter(|(_, w)| w.listed).map(|(incarnation, _)| incarnation.clone());
+        for incarnation in lives.collect::<Vec<_>>() {
+            if let Some(worker) = self.workers.get_mut(&incarnation) {
                 worker.listed = false;
-                worker.unlisted = now;
-                info!("event=worker-unlisted worker={life} runs={}", worker.flights.len());
+                worker.unlisted_at = now;
+                info!("event=worker-unlisted worker={incarnation} runs={}", worker.flights.len());
             }
         }
     }
--- a/crates/owner/src/workers/succession.rs
+++ b/crates/owner/src/workers/restarts.rs
@@ -36,18 +36,20 @@
 
 impl Cell {
     /// Another incarnation, or another worker, answers where one did.
-    pub fn replaced(&mut self, life: &Incarnation, by: Successor, now: u64) {
+    pub fn replaced(&mut self, incarnation: &Incarnation, by: Successor, now: u64) {
         let Successor::Restarted(start) = by else {
-            return self.succeeded(life, now);
+            return self.succeeded(incarnation, now);
         };
-        let next = life.started(start);
+        let next = incarnation.started(start);
         // One that is not known any more was asked before its successor was.
-        if next == *life || !self.workers.contains_key(life) {
+        if next == *incarnation || !self.workers.contains_key(incarnation) {
             return;
         }
-        let others = self.of_id(life.id()).map(|(life, _)| life);
-        let others: Vec<_> = others.filter(|life| **life != next).cloned().collect();
-        others.iter().for_each(|life| self.restarted(life, &next, Heard::Answer, now));
+        let others = self.of_id(incarnation.id()).map(|(incarnation, _)| incarnation);
+        let others: Vec<_> = others.filter(|incarnation| **incarnation != next).cloned().collect();
+        others
+            .iter()
+            .for_each(|incarnation| self.restarted(incarnation, &next, Heard::Answer, now));
         if let Some(worker) = self.workers.get_mut(&next) {
             worker.before.retain(|&before| before != start);
         }
@@ -61,12 +63,12 @@
     /// The incarnation that the list tells of: one whose start nothing tells is the newest that is known.
     pub(crate) fn listed_as(&self, id: &str, start: u64) -> Incarnation {
         let newest = self.of_id(id).next_back().filter(|_| start == 0);
-        newest.map_or_else(|| Incarnation::new(id, start), |(life, _)| life.clone())
+        newest.map_or_else(|| Incarnation::new(id, start), |(incarnation, _)| incarnation.clone())
     }
 
     /// Whether an incarnation is known to be over though an old entry tells of it.
-    pub(crate) fn is_past(&self, life: &Incarnation) -> bool {
-        self.of_id(life.id()).any(|(_, w)| w.before.contains(&life.start()))
+    pub(crate) fn is_past(&self, incarnation: &Incarnation) -> bool {
+        self.of_id(incarnation.id()).any(|(_, w)| w.before.contains(&incarnation.start()))
     }
 
     /// Every incarnation of a worker that is known, by start.
@@ -83,28 +85,28 @@
     /// One that the log or an answer tells of may be the later one, on a host whose clock was set back; one that
     /// answers says itself when it is over. Both are asked.
     pub(crate) fn comes_after_earlier(&mut self, next: &Incarnation, written: u64, now: u64) {
-        let earlier = self.of_id(next.id()).filter(|(life, worker)| {
+        let earlier = self.of_id(next.id()).filter(|(incarnation, worker)| {
             let before =
                 worker.read && worker.listing.as_ref().is_some_and(|l| l.written < written);
-            before && worker.life != Life::Well && life.start() < next.start()
+            before && worker.life != Life::Well && incarnation.start() < next.start()
         });
-        let earlier: Vec<_> = earlier.map(|(life, _)| life.clone()).collect();
-        earlier.iter().for_each(|life| self.restarted(life, next, Heard::List, now));
+        let earlier: Vec<_> = earlier.map(|(incarnation, _)| incarnation.clone()).collect();
+        earlier.iter().for_each(|incarnation| self.restarted(incarnation, next, Heard::List, now));
     }
 
     /// A worker has started anew; what ran before is over.
-    fn restarted(&mut self, life: &Incarnation, next: &Incarnation, heard: Heard, now: u64) {
-        let Some(old) = self.workers.get(life) else {
+    fn restarted(&mut self, incarnation: &Incarnation, next: &Incarnation, heard: Heard, now: u64) {
+        let Some(old) = self.workers.get(incarnation) else {
             return;
         };
         let (listing, listed) = (old.listing.clone(), old.listed);
         let (mut before, mut unanswered) = (old.before.clone(), old.unanswered.clone());
-        before.push(life.start());
+        before.push(incarnation.start());
         // Nothing has told its start, and it has not been asked yet: it may be the one that is there.
-        let unnamed = life.start() == 0 && old.life == Life::Unmet;
+        let unnamed = incarnation.start() == 0 && old.life == Life::Unmet;
         if !unnamed {
             self.counts.restarts += 1;
-            old.tell_restart(life, next, heard, now);
+            old.tell_restart(incarnation, next, heard, now);
         }
         let heir = self.workers.entry(next.clone()).or_insert_with(|| Worker::new(now));
         if heir.listing.is_none() {
@@ -117,15 +119,15 @@
         heir.before = before;
         // The entry that names no start may be its own.
         heir.listed |= unnamed && listed;
-        let inherited = self.bequeath(life, next, now);
+        let inherited = self.bequeath(incarnation, next, now);
         if unnamed {
             info!("event=worker-named worker={next} runs={inherited}");
         } else {
-            self.lose(life, Cause::Restarted, now);
+            self.lose(incarnation, Cause::Restarted, now);
         }
-        self.waves_go_on(life, next);
-        if self.workers.remove(life).is_some_and(|w| w.traced) {
-            self.untraced.push(life.clone());
+        self.waves_go_on(incarnation, next);
+        if self.workers.remove(incarnation).is_some_and(|w| w.logged) {
+            self.untraced.push(incarnation.clone());
         }
     }
 
@@ -133,25 +135,25 @@
     ///
     /// An order that was under way when the process ended can't reach the next one by its connection. One that the
     /// platform holds back could, and the task would run twice.
-    fn bequeath(&mut self, life: &Incarnation, next: &Incarnation, now: u64) -> usize {
-        let Some(old) = self.workers.get(life) else {
+    fn bequeath(&mut self, incarnation: &Incarnation, next: &Incarnation, now: u64) -> usize {
+        let Some(old) = self.workers.get(incarnation) else {
             return 0;
         };
-        let doubtful = old.flights.iter().filter(|(_, flight)| flight.in_doubt());
+        let doubtful = old.flights.iter().filter(|(_, active)| active.in_doubt());
         let doubtful: Vec<(TaskId, Flight)> = doubtful.map(|(t, f)| (*t, f.clone())).collect();
         let count = doubtful.len();
-        for (task, mut flight) in doubtful {
+        for (task, mut active) in doubtful {
             let Some(heir) = self.workers.get_mut(next).filter(|w| !w.flights.contains_key(&task))
             else {
                 continue;
             };
-            if flight.stage != Stage::Inherited {
-                flight.enter(Stage::Stopping, now);
-                let (worker, run) = (next.clone(), flight.run);
+            if active.stage != Stage::Inherited {
+                active.enter(Stage::Stopping, now);
+                let (worker, run) = (next.clone(), active.run);
                 self.orders.push(Order::Stop { worker, task, run });
             }
-            let run = flight.run;
-            heir.flights.insert(task, flight);
+            let run = active.run;
+            heir.flights.insert(task, active);
             let record = self.jobs.get_mut(&task.job).and_then(|j| j.progress.task_mut(task));
             let record = record.and_then(|t| t.live.iter_mut().find(|r| r.number == run));
             if let Some(record) = record {
@@ -166,26 +168,27 @@
 impl Cell {
     /// Bars what was told to earlier incarnations of a worker and may still be carried out at this one, which
     /// knows of no stop that they were told.
-    pub(crate) fn bar_late(&mut self, life: &Incarnation, now: u64) {
-        let Some(worker) = self.workers.get(life).filter(|w| !w.before.is_empty()) else {
+    pub(crate) fn bar_late(&mut self, incarnation: &Incarnation, now: u64) {
+        let Some(worker) = self.workers.get(incarnation).filter(|w| !w.before.is_empty()) else {
             return;
         };
         let late = worker.unanswered.iter().filter(|(.., at)| now < at + LATE);
         let gone =
             late.filter(|(task, run, _)| worker.flights.get(task).is_none_or(|f| f.run != *run));
-        let stops = gone.map(|&(task, run, _)| Order::Stop { worker: life.clone(), task, run });
+        let stops =
+            gone.map(|&(task, run, _)| Order::Stop { worker: incarnation.clone(), task, run });
         self.orders.extend(stops);
     }
 }
 
 impl Worker {
     /// Tells that the worker has started anew, and what was lost with the incarnation before.
-    fn tell_restart(&self, life: &Incarnation, next: &Incarnation, heard: Heard, now: u64) {
+    fn tell_restart(&self, incarnation: &Incarnation, next: &Incarnation, heard: Heard, now: u64) {
         warn!(
             "event=worker-restarted worker={} before={} after={} heard={heard} runs={} taken={} noted={} \
              silent_ms={}",
-            life.id(),
-            life.start(),
+            incarnation.id(),
+            incarnation.start(),
             next.start(),
             self.flights.len(),
             self.taken,
--- a/crates/owner/src/workers/trace.rs
+++ b/crates/owner/src/workers/trace.rs
@@ -2,7 +2,7 @@
 //!
 //! A worker that leaves without a word is no longer listed but serves on. An owner that takes over
 //! needs an address for it; else its runs go on unheard until every lease there is over. One short
-//! record a life of a worker costs less than an address in each run.
+//! record a incarnation of a worker costs less than an address in each run.
 
 use serde::{Deserialize, Serialize};
 
@@ -40,7 +40,7 @@
     /// The bytes are no description.
     pub fn recall_worker(
         &mut self,
-        life: &Incarnation,
+        incarnation: &Incarnation,
         record: &[u8],
         now: u64,
     ) -> Result<(), RecordError> {
@@ -48,44 +48,45 @@
         let leaving = listing.draining;
         let last = self.earlier.last().copied();
         let wait = Wait::inherited(wait, last, &self.ended, now);
-        let worker = self.workers.entry(life.clone()).or_insert_with(|| Worker::new(now));
+        let worker = self.workers.entry(incarnation.clone()).or_insert_with(|| Worker::new(now));
         worker.wait = wait;
         worker.listing.get_or_insert(listing);
         worker.mark_emptied(&self.emptied);
-        worker.traced = true;
-        (worker.leaving, worker.leaving_told) = (leaving, leaving);
+        worker.logged = true;
+        (worker.leaving, worker.leaving_logged) = (leaving, leaving);
         Ok(())
     }
 
     /// What the log has to hold of workers before the runs go out that are written now.
     pub(crate) fn traces(&mut self) -> Vec<Trace> {
         let forgotten = std::mem::take(&mut self.untraced);
-        let mut traces: Vec<_> = forgotten.into_iter().map(|life| (life, Vec::new())).collect();
-        let news = |w: &Worker| !w.traced || w.leaving != w.leaving_told;
+        let mut traces: Vec<_> =
+            forgotten.into_iter().map(|incarnation| (incarnation, Vec::new())).collect();
+        let news = |w: &Worker| !w.logged || w.leaving != w.leaving_logged;
         let fresh = |w: &Worker| !w.flights.is_empty() && news(w) || w.wait.due();
-        for (life, worker) in self.workers.iter_mut().filter(|(_, w)| fresh(w)) {
+        for (incarnation, worker) in self.workers.iter_mut().filter(|(_, w)| fresh(w)) {
             let Some(mut listing) = worker.listing.clone() else {
                 continue;
             };
             listing.draining = worker.leaving;
-            worker.leaving_told = worker.leaving;
+            worker.leaving_logged = worker.leaving;
             let record = Record { listing, wait: worker.wait.write() };
-            traces.push((life.clone(), encode(&record)));
+            traces.push((incarnation.clone(), encode(&record)));
         }
         traces
     }
 
     /// The log holds these descriptions.
     pub(crate) fn traced(&mut self, traces: Vec<Trace>) {
-        for (life, record) in traces {
+        for (incarnation, record) in traces {
             let there = !record.is_empty();
-            match self.workers.get_mut(&life) {
+            match self.workers.get_mut(&incarnation) {
                 Some(worker) => {
-                    worker.traced = there;
+                    worker.logged = there;
                     worker.wait.written();
                 }
                 // It was forgotten while its description was on the way.
-                None if there => self.untraced.push(life),
+                None if there => self.untraced.push(incarnation),
                 None => {}
             }
         }
--- a/crates/owner/src/workers/wait.rs
+++ b/crates/owner/src/workers/wait.rs
@@ -142,21 +142,23 @@
     /// Notes what the log is to be told of workers with runs that do not answer.
     pub(crate) fn note_waits(&mut self, now: u64) {
         let longest = self.longest();
-        let lost = |life: &Incarnation, w: &Worker| match w.life {
-            Life::Unmet => self.silent(life),
+        let lost = |incarnation: &Incarnation, w: &Worker| match w.life {
+            Life::Unmet => self.silent(incarnation),
             Life::Silent => true,
             Life::Well | Life::Gone => false,
         };
-        let waiting =
-            self.workers.iter().filter(|(life, w)| !w.flights.is_empty() && lost(life, w));
-        let waited = waiting.map(|(life, worker)| {
+        let waiting = self
+            .workers
+            .iter()
+            .filter(|(incarnation, w)| !w.flights.is_empty() && lost(incarnation, w));
+        let waited = waiting.map(|(incarnation, worker)| {
             let left = self.over_at(worker).saturating_sub(now);
-            (life.clone(), longest.saturating_sub(left))
+            (incarnation.clone(), longest.saturating_sub(left))
         });
         let waited: Vec<(Incarnation, u64)> = waited.collect();
         let fence = self.fence;
-        for (life, waited) in waited {
-            let Some(worker) = self.workers.get_mut(&life) else {
+        for (incarnation, waited) in waited {
+            let Some(worker) = self.workers.get_mut(&incarnation) else {
                 continue;
             };
             match worker.life {
--- a/crates/owner/src/workers/wave.rs
+++ b/crates/owner/src/workers/wave.rs
@@ -10,8 +10,8 @@
 /// The pause before an upkeep that was refused or got no answer is ordered again, in milliseconds.
 const AGAIN: u64 = 400;
 
-/// How long after the order the same life must still be there to count as spared, in milliseconds:
-/// an upkeep and the listing of the new life take less.
+/// How long after the order the same incarnation must still be there to count as spared, in milliseconds:
+/// an upkeep and the listing of the new incarnation take less.
 const SPARED_AFTER: u64 = 6_000;
 
 /// The share of a machine's part of the wave's time that it may take to be emptied; after that
@@ -42,11 +42,11 @@
 #[derive(Debug, Clone, PartialEq, Eq)]
 enum Turn {
     /// Its worker is being emptied since a moment.
-    Emptying { life: Incarnation, since: u64 },
+    Emptying { incarnation: Incarnation, since: u64 },
     /// The order is under way or failed; ordered again at a moment.
-    Ordered { life: Incarnation, again: u64 },
-    /// It went down at a moment; another life is awaited.
-    Down { life: Incarnation, since: u64 },
+    Ordered { incarnation: Incarnation, again: u64 },
+    /// It went down at a moment; another incarnation is awaited.
+    Down { incarnation: Incarnation, since: u64 },
 }
 
 /// A wave under way.
@@ -124,18 +124,21 @@
         let Some(state) = self.waves.get_mut(&number) else {
             return;
         };
-        let Some(Turn::Ordered { life, .. }) = state.turns.get(machine).cloned() else {
+        let Some(Turn::Ordered { incarnation, .. }) = state.turns.get(machine).cloned() else {
             return;
         };
         match told {
             Upkeep::Begun => {
-                state.turns.insert(machine.into(), Turn::Down { life: life.clone(), since: now });
-                self.succeeded(&life, now);
+                state.turns.insert(
+                    machine.into(),
+                    Turn::Down { incarnation: incarnation.clone(), since: now },
+                );
+                self.succeeded(&incarnation, now);
             }
             Upkeep::Dropped => state.finish(machine),
             Upkeep::Again => {
                 let again = now + AGAIN;
-                state.turns.insert(machine.into(), Turn::Ordered { life, again });
+                state.turns.insert(machine.into(), Turn::Ordered { incarnation, again });
             }
         }
     }
@@ -144,20 +147,20 @@
     fn advance(&mut self, state: &mut WaveState, now: u64, orders: &mut Vec<(String, u64)>) {
         let turns: Vec<_> = state.turns.iter().map(|(m, t)| (m.clone(), t.clone())).collect();
         for (machine, turn) in turns {
-            let life = match turn {
-                Turn::Emptying { life, since } => {
+            let incarnation = match turn {
+                Turn::Emptying { incarnation, since } => {
                     let urgent = now.saturating_sub(since) as f64 > EMPTYING * state.wave.part();
-                    self.empty(&life, urgent, now).then_some(life)
+                    self.empty(&incarnation, urgent, now).then_some(incarnation)
                 }
-                Turn::Ordered { life, again } => (now >= again).then_some(life),
-                Turn::Down { life, since } => {
-                    self.end_turn(state, &machine, &life, since, now);
+                Turn::Ordered { incarnation, again } => (now >= again).then_some(incarnation),
+                Turn::Down { incarnation, since } => {
+                    self.end_turn(state, &machine, &incarnation, since, now);
                     None
                 }
             };
-            if let Some(life) = life {
+            if let Some(incarnation) = incarnation {
                 let again = now + AGAIN;
-                state.turns.insert(machine.clone(), Turn::Ordered { life, again });
+                state.turns.insert(machine.clone(), Turn::Ordered { incarnation, again });
                 orders.push((machine, state.wave.number));
             }
         }
@@ -168,16 +171,18 @@
     }
 
     /// A worker that is being emptied has started anew: its machine is as far from its upkeep as before.
-    pub(crate) fn waves_go_on(&mut self, life: &Incarnation, next: &Incarnation) {
+    pub(crate) fn waves_go_on(&mut self, incarnation: &Incarnation, next: &Incarnation) {
         let turns = self.waves.values_mut().flat_map(|state| state.turns.values_mut());
         for turn in turns {
-            let (Turn::Emptying { life: of, .. } | Turn::Ordered { life: of, .. }) = turn else {
+            let (Turn::Emptying { incarnation: of, .. } | Turn::Ordered { incarnation: of, .. }) =
+                turn
+            else {
                 continue;
             };
-            if of == life {
+            if of == incarnation {
                 of.clone_from(next);
                 if let Some(worker) = self.workers.get_mut(next) {
-                    worker.closing = true;
+                    worker.in_maintenance = true;
                 }
             }
         }
@@ -188,16 +193,16 @@
         &mut self,
         state: &mut WaveState,
         machine: &str,
-        life: &Incarnation,
+        incarnation: &Incarnation,
         since: u64,
         now: u64,
     ) {
-        // The same life is there if the upkeep had been done before.
+        // The same incarnation is there if the upkeep had been done before.
         let spared = now.saturating_sub(since) > SPARED_AFTER;
-        if self.life_on(machine).is_some_and(|l| l != *life || spared) {
+        if self.life_on(machine).is_some_and(|l| l != *incarnation || spared) {
             state.finish(machine);
-            if let Some(worker) = self.workers.get_mut(life) {
-                worker.closing = false;
+            if let Some(worker) = self.workers.get_mut(incarnation) {
+                worker.in_maintenance = false;
             }
         }
     }
@@ -210,18 +215,19 @@
                     && !state.turns.contains_key(*m)
                     && self.life_on(m).is_some()
             });
-            let Some((machine, life)) = next.and_then(|m| Some((m.clone(), self.life_on(m)?)))
+            let Some((machine, incarnation)) =
+                next.and_then(|m| Some((m.clone(), self.life_on(m)?)))
             else {
                 break;
             };
-            if let Some(worker) = self.workers.get_mut(&life) {
-                worker.closing = true;
+            if let Some(worker) = self.workers.get_mut(&incarnation) {
+                worker.in_maintenance = true;
             }
-            state.turns.insert(machine, Turn::Emptying { life, since: now });
+            state.turns.insert(machine, Turn::Emptying { incarnation, since: now });
         }
     }
 
-    /// The life of a worker that answers on a machine.
+    /// The incarnation of a worker that answers on a machine.
     fn life_on(&self, machine: &str) -> Option<Incarnation> {
         let on = |l: &myrtle_job::Listing| l.machine.as_deref() == Some(machine);
         let mut lives = self.workers.iter().filter(|(_, w)| w.listed && w.life == Life::Well);
--- a/crates/owner/src/workers/worker.rs
+++ b/crates/owner/src/workers/worker.rs
@@ -5,8 +5,8 @@
 use myrtle_base::Room;
 use myrtle_job::{Listing, TaskId};
 
-use crate::disruption::harm::Uses;
-use crate::disruption::outlook::Outlook;
+use crate::disruption::forecast::LoadForecast;
+use crate::disruption::harm::Usage;
 use crate::workers::wait::Wait;
 use crate::{Flight, Flights, Stage};
 
@@ -25,13 +25,13 @@
 
 /// A filler that has ended but still shows in figures.
 #[derive(Debug, Clone)]
-pub(crate) struct Faded {
+pub(crate) struct EndedFiller {
     /// What it ran.
     pub(crate) image: Arc<str>,
     /// What it used at last, in thousandths of a core.
     pub(crate) used: f64,
     /// When it ended.
-    pub(crate) ended: u64,
+    pub(crate) ended_at: u64,
 }
 
 /// One incarnation of a worker.
@@ -44,7 +44,7 @@
     /// Whether this owner has read its entry in the list; else it is known from the log or from an answer.
     pub(crate) read: bool,
     /// When the list ceased to show it.
-    pub unlisted: u64,
+    pub unlisted_at: u64,
     /// Whether it can be given work.
     pub life: Life,
     /// When it last answered.
@@ -62,25 +62,25 @@
     /// Ends up to this number are in the log.
     pub noted: u64,
     /// No work before this time, after refusals or failures.
-    pub aside: u64,
+    pub backoff_until: u64,
     /// Failed ends since the last good one.
     pub fails: u32,
     /// How often in a row it was set aside.
-    pub strikes: u32,
+    pub backoffs: u32,
     /// When its figures last changed.
-    pub figured: u64,
+    pub reported_at: u64,
     /// What fillers used in the last window, by image.
-    pub uses: Uses,
+    pub usage: Usage,
     /// What is foreseen for its serving tasks, by image.
-    pub(crate) outlooks: Vec<Outlook>,
+    pub(crate) outlooks: Vec<LoadForecast>,
     /// When fillers were last slowed here.
-    pub eased: u64,
+    pub throttled_at: u64,
     /// Fillers that ended lately.
-    pub(crate) faded: Vec<Faded>,
+    pub(crate) ended_fillers: Vec<EndedFiller>,
     /// Whether the log holds its description.
-    pub traced: bool,
+    pub logged: bool,
     /// Whether it is being emptied for the upkeep of its machine.
-    pub closing: bool,
+    pub in_maintenance: bool,
     /// Whether its data centre is being emptied.
     pub emptied: bool,
     /// Until when it is slow from its start.
@@ -90,7 +90,7 @@
     /// Whether it was about to leave when it last answered.
     pub(crate) leaving: bool,
     /// Whether the log says so.
-    pub(crate) leaving_told: bool,
+    pub(crate) leaving_logged: bool,
     /// When earlier incarnations of the worker started.
     pub(crate) before: Vec<u64>,
     /// Starts that got no answer lately, here or at earlier incarnations: task, run and when.
@@ -104,7 +104,7 @@
             listing: None,
             listed: false,
             read: false,
-            unlisted: now,
+            unlisted_at: now,
             life: Life::Unmet,
             heard: now,
             clock: None,
@@ -113,21 +113,21 @@
             flights: Flights::default(),
             taken: 0,
             noted: 0,
-            aside: 0,
+            backoff_until: 0,
             fails: 0,
-            strikes: 0,
-            figured: 0,
-            uses: Uses::new(),
+            backoffs: 0,
+            reported_at: 0,
+            usage: Usage::new(),
             outlooks: Vec::new(),
-            eased: 0,
-            faded: Vec::new(),
-            traced: false,
-            closing: false,
+            throttled_at: 0,
+            ended_fillers: Vec::new(),
+            logged: false,
+            in_maintenance: false,
             emptied: false,
             warm: 0,
             leaves: None,
             leaving: false,
-            leaving_told: false,
+            leaving_logged: false,
             before: Vec::new(),
             unanswered: Vec::new(),
         }
@@ -136,11 +136,11 @@
     /// Takes a run off that has ended, if it is the one there.
     pub(crate) fn drop_flight(&mut self, task: TaskId, run: u32, now: u64) -> Option<Flight> {
         self.flights.get(&task).filter(|f| f.run == run)?;
-        let flight = self.flights.remove(&task)?;
-        if let Some(image) = flight.image.clone().filter(|_| flight.filler) {
-            self.faded.push(Faded { image, used: flight.figure, ended: now });
+        let active = self.flights.remove(&task)?;
+        if let Some(image) = active.image.clone().filter(|_| active.filler) {
+            self.ended_fillers.push(EndedFiller { image, used: active.figure, ended_at: now });
         }
-        Some(flight)
+        Some(active)
     }
 
     /// What it has.
@@ -155,7 +155,7 @@
 
     /// What the runs there count.
     pub fn used(&self) -> Room {
-        self.flights.sums().used
+        self.flights.sums().claimed
     }
 
     /// What is left.
@@ -178,10 +178,10 @@
         self.life == Life::Well
             && self.listed
             && !self.draining()
-            && !self.closing
+            && !self.in_maintenance
             && !self.emptied
             && !self.wait.bars()
-            && self.aside <= now
+            && self.backoff_until <= now
     }
 
     /// The rack, which is the last of its labels.
@@ -191,7 +191,7 @@
 
     /// Whether a lasting task is there.
     pub fn lasts(&self) -> bool {
-        self.flights.sums().lasts
+        self.flights.sums().long_running
     }
 
     /// Whether it has a label.
@@ -206,11 +206,11 @@
 
     /// The processors that fillers could use, in thousandths of a core.
     pub fn spare(&self) -> f64 {
-        f64::from(self.room().cpu) - self.flights.sums().taken
+        f64::from(self.room().cpu) - self.flights.sums().non_fillers
     }
 
     /// The processors that its fillers ask for at their paces, in thousandths of a core.
     pub fn filled(&self) -> f64 {
-        self.flights.sums().filled
+        self.flights.sums().fillers
     }
 }
