--- a/crates/owner/src/disruption/throttle.rs
+++ b/crates/owner/src/disruption/throttle.rs
@@ -140,7 +140,7 @@
             .collect();
         for (task, run) in halted {
             info!(
-                "event=move task={task} run={run} worker={incarnation} reason=\"no room to go on\""
+                "event=move task={task} run={run} worker={incarnation} reason=\"no headroom to resume\""
             );
             self.counts.moved += 1;
             self.halt(incarnation, task, run, now);
--- a/crates/owner/src/orders/commit.rs
+++ b/crates/owner/src/orders/commit.rs
@@ -67,7 +67,7 @@
 
     /// Marks a batch as written; returns the starts that can be sent now.
     pub fn committed(&mut self, batch: Batch, now: u64) -> Vec<Order> {
-        self.traced(batch.traces);
+        self.mark_logged(batch.traces);
         self.earlier.retain(|fence| !batch.owners.contains(fence));
         self.bars_logged(batch.records.iter().map(|(id, _)| *id));
         self.unlogged.drain(..batch.ends.min(self.unlogged.len()));
--- a/crates/owner/src/orders/withdraw.rs
+++ b/crates/owner/src/orders/withdraw.rs
@@ -51,8 +51,8 @@
     fn closed_reason(&self) -> Option<&'static str> {
         let reasons = [
             (self.overcommitted(), "its room has shrunk"),
-            (self.emptied, "its data centre is being emptied"),
-            (self.draining(), "the worker leaves"),
+            (self.emptied, "its data centre is evacuated"),
+            (self.draining(), "the worker is leaving"),
         ];
         reasons.into_iter().find_map(|(holds, reason)| holds.then_some(reason))
     }
--- a/crates/owner/src/workers/crash.rs
+++ b/crates/owner/src/workers/crash.rs
@@ -1,10 +1,10 @@
-//! Tasks that crash the workers that start them: which are doubted, and when a job is given up.
+//! Finds tasks that crash the workers that start them, and ends their jobs.
 //!
-//! A worker takes all that ran on it along, and none of it says which task was the cause. A task that
-//! crashes workers does so soon after its start, so those that had just begun are doubted, and those
-//! that had been there for as long when an earlier worker was lost. What is doubted is tried by itself:
-//! for a while nothing else begins where it has begun, so the next crash tells it from those that merely
-//! began beside it.
+//! A worker that crashes ends all its runs, and nothing shows which task was the cause. A task that
+//! crashes workers does so soon after its start, so tasks that had just started are suspected, as
+//! are tasks that had run for as long when an earlier worker was lost. A suspected task is
+//! isolated: for a while nothing else starts on its worker, so that the next crash distinguishes it
+//! from tasks that merely started at the same time.
 
 use derive_more::Display;
 use log::{info, warn};
@@ -14,83 +14,84 @@
 use crate::placing::step::step_of;
 use crate::{Cell, Flight, Life, Stage, Worker};
 
-/// How long after its start a task is the first to be doubted, in milliseconds: longer than a busy
-/// worker goes without a word.
-const FRESH: u64 = 300;
+/// How long after its start a task is suspected first, in milliseconds: longer than a busy worker
+/// goes without an answer.
+const FRESH_MS: u64 = 300;
 
-/// How long a run has to be at work for its task to be trusted again, in milliseconds.
-const TRUSTED: u64 = 10_000;
+/// How long a run has to last for its task to be trusted again, in milliseconds.
+const TRUSTED_AFTER: u64 = 10_000;
 
-/// For how long nothing else begins where a doubted task has begun, in milliseconds.
-const TRIAL: u64 = 1_500;
+/// For how long nothing else starts on the worker of a suspected task, in milliseconds.
+const ISOLATION: u64 = 1_500;
 
-/// How long a job waits before its tasks may begin on such workers all the same, in milliseconds.
-const PATIENCE: u64 = 1_000;
+/// How long a job waits before its tasks may start on such workers nevertheless, in milliseconds.
+const ISOLATION_WAIT: u64 = 1_000;
 
-/// The same for a task that is doubted itself: beside another one a crash would tell nothing.
-const LONG_PATIENCE: u64 = 2_500;
+/// The same for a task that is itself suspected: beside another one a crash would not show the
+/// cause.
+const SUSPECT_WAIT: u64 = 2_500;
 
-/// How far apart, in milliseconds, workers go silent that are lost to one cause, as power: a hold that
-/// gets no answer takes as long to fail.
-const TOGETHER: u64 = 1_200;
+/// How far apart workers go silent that are lost to one cause such as a power failure, in
+/// milliseconds: a lease renewal without answer takes as long to fail.
+const SAME_CAUSE_WITHIN: u64 = 1_200;
 
-/// How many workers on which nothing had just begun are too many to go silent together by chance.
-const MANY: usize = 3;
+/// The number of workers without recent starts that do not go silent together by chance.
+const MASS_LOSS: usize = 3;
 
-/// How long a silence is remembered, in milliseconds: longer than any lease.
-const REMEMBERED: u64 = 20_000;
+/// How long a silence is kept, in milliseconds: longer than any lease.
+const SILENCE_KEPT: u64 = 20_000;
 
-/// How long after the list could not be read an entry may be out of date, in milliseconds.
-const BLIND: u64 = 3_000;
+/// How long entries may be out of date after the list could not be read, in milliseconds.
+const STALE_LIST: u64 = 3_000;
 
-/// Why a incarnation of a worker is taken to be over.
+/// Why an incarnation of a worker is considered ended.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Display)]
 pub(crate) enum Cause {
-    /// Another incarnation answers where it was, or its machine is going down.
+    /// Another worker or incarnation answers at its address, or its machine is going down.
     #[display("another incarnation answers at its address")]
     Succeeded,
-    /// The worker has started anew under its id.
-    #[display("it has started anew")]
+    /// The worker has restarted under its id.
+    #[display("it has restarted")]
     Restarted,
-    /// Every lease that it had is over.
+    /// All its leases have expired.
     #[display("its lease is over")]
     Lapsed,
 }
 
-/// A worker that went silent.
+/// A worker that does not answer.
 #[derive(Debug, Clone)]
 pub(crate) struct Silence {
     /// The worker.
     incarnation: Incarnation,
-    /// When it did.
-    at: u64,
-    /// Whether nothing had just begun there.
-    plain: bool,
+    /// When it stopped answering.
+    since: u64,
+    /// Whether nothing had just started there.
+    no_starts: bool,
 }
 
 impl Cell {
-    /// Notes that a worker does not answer any more, or never has.
+    /// Records that a worker has stopped answering, or has never answered.
     pub(crate) fn note_silence(&mut self, incarnation: &Incarnation, now: u64) {
-        self.silences.retain(|s| now < s.at + REMEMBERED);
+        self.silences.retain(|s| now < s.since + SILENCE_KEPT);
         let Some(worker) = self.workers.get(incarnation) else {
             return;
         };
         if self.silent(incarnation) {
             return;
         }
-        // Those that were not met may have been lost together before this owner began.
-        let met = worker.life != Life::Unmet;
-        let plain = !met || !worker.flights.values().any(|f| fresh(f, worker.heard));
-        let at = if met { now } else { self.began };
-        self.silences.push(Silence { incarnation: incarnation.clone(), at, plain });
+        // Workers that have not answered this owner may have been lost together before it began.
+        let answered = worker.life != Life::Unmet;
+        let no_starts = !answered || !worker.flights.values().any(|f| recent(f, worker.heard));
+        let since = if answered { now } else { self.began };
+        self.silences.push(Silence { incarnation: incarnation.clone(), since, no_starts });
     }
 
-    /// Whether a worker is known not to answer.
+    /// Whether a worker is recorded as not answering.
     pub(crate) fn silent(&self, incarnation: &Incarnation) -> bool {
         self.silences.iter().any(|s| s.incarnation == *incarnation)
     }
 
-    /// Notes that a worker which was silent answers again.
+    /// Records that a worker answers again.
     pub(crate) fn clear_silence(&mut self, incarnation: &Incarnation) {
         self.silences.retain(|s| s.incarnation != *incarnation);
     }
@@ -98,26 +99,29 @@
     /// Counts the loss of a worker against the tasks that ran there, before any of them is started
     /// again.
     ///
-    /// Uncounted, a task that crashes its workers was started for as long as its job was known: 34
-    /// times in two minutes, with 6 to 18 runs of others lost each time.
+    /// Otherwise a task that crashes its workers would be started again for as long as its job is
+    /// known, each time with the loss of the other runs on the worker: 34 times in two minutes,
+    /// with 6 to 18 runs of others lost each time.
     pub(crate) fn count_crash(
         &mut self,
         incarnation: &Incarnation,
-        flights: &[(TaskId, Flight)],
-        heard: u64,
+        runs: &[(TaskId, Flight)],
+        answered_at: u64,
     ) {
-        let silent = self.lost_alone(incarnation);
-        let alone = silent.is_some();
-        // Tried by itself, and the worker is gone again: that is the one, and the others are cleared.
-        let tried = |f: &Flight| f.suspect && f.begun.is_some() && fresh(f, heard);
-        let again = alone && flights.iter().any(|(_, f)| tried(f));
-        for (task, active) in flights.iter().filter(|(_, f)| told(f)) {
-            let fresh = fresh(active, heard);
-            let age = active.begun.map_or(0, |begun| silent.unwrap_or(heard).saturating_sub(begun));
-            if age >= TRUSTED {
+        let silent_since = self.lost_alone(incarnation);
+        let alone = silent_since.is_some();
+        // An isolated task whose worker is lost again is the cause, and the others are not.
+        let isolated = |f: &Flight| f.suspect && f.begun.is_some() && recent(f, answered_at);
+        let repeated = alone && runs.iter().any(|(_, f)| isolated(f));
+        for (task, active) in runs.iter().filter(|(_, f)| maybe_started(f)) {
+            let recent = recent(active, answered_at);
+            let age = active
+                .begun
+                .map_or(0, |begun| silent_since.unwrap_or(answered_at).saturating_sub(begun));
+            if age >= TRUSTED_AFTER {
                 self.clear(*task);
-            } else if fresh || !again {
-                self.count_loss(incarnation, *task, Loss { age: age as u32, fresh, alone });
+            } else if recent || !repeated {
+                self.count_loss(incarnation, *task, Loss { age: age as u32, fresh: recent, alone });
             }
         }
     }
@@ -145,7 +149,7 @@
         self.dirty.insert(task.job);
     }
 
-    /// Forgets what is counted against a task.
+    /// Clears the losses counted against a task.
     fn clear(&mut self, task: TaskId) {
         if let Some(job) = self.jobs.get_mut(&task.job)
             && job.progress.crashes.remove(&task).is_some()
@@ -154,14 +158,15 @@
         }
     }
 
-    /// When a worker that is lost went silent; nothing if it was one of many that did.
+    /// When a lost worker stopped answering; none if it was one of many that did so together.
     fn lost_alone(&self, incarnation: &Incarnation) -> Option<u64> {
         let own = self.silences.iter().find(|s| s.incarnation == *incarnation)?;
-        let near = self.silences.iter().filter(|s| s.at.abs_diff(own.at) <= TOGETHER);
-        let (all, plain) =
-            near.fold((0, 0), |(all, plain), s| (all + 1, plain + usize::from(s.plain)));
+        let near =
+            self.silences.iter().filter(|s| s.since.abs_diff(own.since) <= SAME_CAUSE_WITHIN);
+        let (all, no_starts) = near
+            .fold((0, 0), |(all, no_starts), s| (all + 1, no_starts + usize::from(s.no_starts)));
         let listed = self.workers.values().filter(|w| w.listed).count();
-        (plain < MANY && (all < 2 || 2 * all < listed)).then_some(own.at)
+        (no_starts < MASS_LOSS && (all < 2 || 2 * all < listed)).then_some(own.since)
     }
 
     /// Ends jobs with tasks that have crashed too many workers.
@@ -186,33 +191,33 @@
         }
     }
 
-    /// A run is at work: after long enough its task is trusted again.
+    /// Clears the losses of a task whose run has lasted long enough.
     pub(crate) fn trust(&mut self, incarnation: &Incarnation, task: TaskId, now: u64) {
         let worker = self.workers.get(incarnation);
         let begun = worker.and_then(|w| w.flights.get(&task)).and_then(|f| f.begun);
-        if begun.is_some_and(|at| now >= at + TRUSTED) {
+        if begun.is_some_and(|at| now >= at + TRUSTED_AFTER) {
             self.clear(task);
         }
     }
 
-    /// Whether a task may have crashed a worker.
+    /// Whether a task is suspected of crashing a worker.
     pub(crate) fn doubts(&self, task: TaskId) -> bool {
         let job = self.jobs.get(&task.job);
         job.and_then(|j| j.progress.crashes.get(&task)).is_some_and(|c| c.doubts > 0)
     }
 
-    /// Whether a task may have a copy beside its only run: both may crash their workers before either loss is
-    /// known.
+    /// Whether a task may have a copy beside its only run: both could crash their workers before
+    /// either loss is known.
     pub(crate) fn bears_copy(&self, task: TaskId) -> bool {
         let job = self.jobs.get(&task.job);
         job.and_then(|j| j.progress.crashes.get(&task)).is_none_or(Crashes::bears_copy)
     }
 
-    /// Whether a task that has waited for `waited` milliseconds may not begin on a worker, as one that is
-    /// doubted has just begun there.
+    /// Whether a task that has waited for `waited` milliseconds may not start on a worker, since a
+    /// suspected task has just started there.
     ///
-    /// Those of its own gang don't stand in its way: they only ever begin together, and a gang of more of them than
-    /// there are workers would wait for ever.
+    /// Tasks of its own gang don't prevent it: they only start together, and a gang with more
+    /// suspected tasks than there are workers would wait for ever.
     pub(crate) fn on_trial(
         &self,
         worker: &Worker,
@@ -224,18 +229,18 @@
         if !worker.flights.sums().suspect {
             return false;
         }
-        let patience = if suspect { LONG_PATIENCE } else { PATIENCE };
-        let trial = if waited < patience { TRIAL } else { FRESH };
+        let wait = if suspect { SUSPECT_WAIT } else { ISOLATION_WAIT };
+        let isolation = if waited < wait { ISOLATION } else { FRESH_MS };
         let gang = self.jobs.get(&task.job).is_some_and(|job| job.step(task.step).gang);
         let own = |other: TaskId| gang && step_of(other) == step_of(task);
         let suspects = worker.flights.iter().filter(|(other, f)| f.suspect && !own(**other));
-        suspects.map(|(_, f)| f).any(|f| f.begun.is_none_or(|begun| now < begun + trial))
+        suspects.map(|(_, f)| f).any(|f| f.begun.is_none_or(|begun| now < begun + isolation))
     }
 }
 
 impl Cell {
-    /// Whether a lost worker may have crashed: it was not about to leave, and it is not one that the list
-    /// still shows after its leases, which lives and is cut off from here.
+    /// Whether a lost worker may have crashed: it was not about to leave, and it is not one that is
+    /// listed after its leases expired, which is alive but unreachable from here.
     pub(crate) fn may_have_crashed(
         &self,
         incarnation: &Incarnation,
@@ -245,32 +250,33 @@
         let Some(worker) = self.workers.get(incarnation) else {
             return false;
         };
-        let cut = cause == Cause::Lapsed && worker.listed && now >= self.blind + BLIND;
-        !cut && !worker.parts()
+        let unreachable = cause == Cause::Lapsed && worker.listed && now >= self.blind + STALE_LIST;
+        !unreachable && !worker.parts()
     }
 }
 
 impl Worker {
-    /// Whether some run has begun here so lately that a crash would be put down to it.
+    /// Whether some run has started here so recently that it would be suspected of a crash.
     pub(crate) fn just_begun(&self, now: u64) -> bool {
-        self.flights.values().any(|f| f.begun.is_none_or(|b| now < b + FRESH))
+        self.flights.values().any(|f| f.begun.is_none_or(|b| now < b + FRESH_MS))
     }
 
-    /// Whether its loss is no crash: it was about to leave, or is being emptied for its upkeep.
+    /// Whether its loss is no crash: it was about to leave, or is being drained for maintenance.
     pub(crate) fn parts(&self) -> bool {
         let left = !self.listed && self.unlisted_at <= self.heard && self.life != Life::Unmet;
         self.draining() || self.in_maintenance || left
     }
 }
 
-/// Whether a run may ever have begun.
-fn told(active: &Flight) -> bool {
-    // One that is being stopped may still be there: of a gang, the others stop when one is lost.
+/// Whether a run may have started at all.
+fn maybe_started(active: &Flight) -> bool {
+    // A run that is being stopped may still be there: if one run of a gang is lost, the others are
+    // stopped.
     let sent = !matches!(active.stage, Stage::Written | Stage::Unsure);
     sent || active.begun.is_some() || active.unanswered
 }
 
-/// Whether a run may have begun just before its worker's last word, or after it.
-fn fresh(active: &Flight, heard: u64) -> bool {
-    told(active) && active.begun.is_none_or(|begun| heard <= begun + FRESH)
+/// Whether a run may have started shortly before its worker's last answer, or after it.
+fn recent(active: &Flight, answered_at: u64) -> bool {
+    maybe_started(active) && active.begun.is_none_or(|begun| answered_at <= begun + FRESH_MS)
 }
--- a/crates/owner/src/workers/drain.rs
+++ b/crates/owner/src/workers/drain.rs
@@ -7,75 +7,80 @@
 use crate::placing::step::step_of;
 use crate::{Cell, Life, Stage, Worker};
 
-/// The time that a move needs beside the stop itself, in milliseconds.
-const SLACK: u64 = 400;
+/// The time that a move needs besides the stop itself, in milliseconds.
+const MOVE_MARGIN: u64 = 400;
 
-/// How long the list has to be without a worker that answers before it is taken to leave without
-/// having said so, in milliseconds: its entry may come back under the next look.
-const UNLISTED_FOR: u64 = 800;
+/// How long a worker that answers has to be missing from the list before it is considered leaving
+/// without notice, in milliseconds: its entry may return at the next read.
+const LEFT_AFTER: u64 = 800;
 
-/// How long after the list could not be read entries that lapsed meanwhile may still come back, in
+/// How long after the list could not be read entries that expired meanwhile may still return, in
 /// milliseconds: the platform gives about two seconds.
-const BACK_WITHIN: u64 = 3_000;
+const RELIST_WITHIN: u64 = 3_000;
 
 impl Cell {
-    /// Stops what would not end before its worker leaves, so that it goes on elsewhere.
+    /// Stops runs that would not end before their worker leaves, so that they continue elsewhere.
     pub fn evacuate(&mut self, now: u64) {
-        self.note_leaving(now);
+        self.update_leaving(now);
         let mut moves: Vec<(Incarnation, TaskId, u32)> = Vec::new();
-        let well = self.workers.iter().filter(|(_, w)| w.life == Life::Well);
-        for (incarnation, worker) in well.filter(|(_, w)| w.leaving) {
-            let left = worker.leaves.map(|l| l.saturating_sub(now));
+        let answering = self.workers.iter().filter(|(_, w)| w.life == Life::Well);
+        for (incarnation, worker) in answering.filter(|(_, w)| w.leaving) {
+            let remaining = worker.leaves.map(|l| l.saturating_sub(now));
             for (&task, active) in worker.flights.iter().filter(|(_, f)| f.stage == Stage::Up) {
                 if active.lasting {
                     let moving = moves.iter().any(|(_, t, _)| step_of(*t) == step_of(task));
-                    // What is about to die there is away in any case: stopped, it is known to be.
-                    let last = left.is_some_and(|l| l <= self.bounds.stop + SLACK);
+                    // A run that is about to end with its worker becomes unavailable in any case;
+                    // stopped, its end is certain.
+                    let last = remaining.is_some_and(|l| l <= self.bounds.stop + MOVE_MARGIN);
                     if last || self.may_move(task, now) && !moving {
                         moves.push((incarnation.clone(), task, active.run));
                     }
                     continue;
                 }
                 let share = 1.0 - active.percent / 100.0;
-                let rest = (active.estimate as f64 * share) as u64;
-                if left.is_some_and(|l| rest + self.bounds.stop + SLACK > l) && active.saves {
+                let remaining_work = (active.estimate as f64 * share) as u64;
+                if remaining.is_some_and(|l| remaining_work + self.bounds.stop + MOVE_MARGIN > l)
+                    && active.saves
+                {
                     moves.push((incarnation.clone(), task, active.run));
                 }
             }
         }
         for (incarnation, task, run) in moves {
             info!(
-                "event=move task={task} run={run} worker={incarnation} reason=\"the worker leaves\""
+                "event=move task={task} run={run} worker={incarnation} reason=\"the worker is leaving\""
             );
             self.counts.moved += 1;
             self.halt(&incarnation, task, run, now);
         }
     }
 
-    /// Notes which workers that answer are about to leave; the log tells the next owner, which may never meet them.
-    fn note_leaving(&mut self, now: u64) {
-        let well = self.workers.iter().filter(|(_, w)| w.life == Life::Well);
-        let news = well.filter(|(_, w)| self.leaves(w, now) != w.leaving);
-        let news: Vec<Incarnation> = news.map(|(incarnation, _)| incarnation.clone()).collect();
-        for incarnation in news {
+    /// Updates which of the answering workers are about to leave; the log keeps it for a successor
+    /// that may never reach them.
+    fn update_leaving(&mut self, now: u64) {
+        let answering = self.workers.iter().filter(|(_, w)| w.life == Life::Well);
+        let changed = answering.filter(|(_, w)| self.leaves(w, now) != w.leaving);
+        let changed: Vec<Incarnation> =
+            changed.map(|(incarnation, _)| incarnation.clone()).collect();
+        for incarnation in changed {
             if let Some(worker) = self.workers.get_mut(&incarnation) {
                 worker.leaving = !worker.leaving;
             }
         }
     }
 
-    /// Whether a worker that answers is about to leave: it says so, or its entry is gone though the
-    /// list can be read.
+    /// Whether an answering worker is about to leave: it is draining, or it is no longer listed
+    /// though the list can be read.
     fn leaves(&self, worker: &Worker, now: u64) -> bool {
         let unlisted = !worker.listed && worker.listing.is_some();
         worker.draining()
             || unlisted
-                && now >= worker.unlisted_at + UNLISTED_FOR
-                && now >= self.blind + BACK_WITHIN
+                && now >= worker.unlisted_at + LEFT_AFTER
+                && now >= self.blind + RELIST_WITHIN
     }
 
-    /// Moves runs off a worker; true once nothing is left there.
-    pub(crate) fn empty(&mut self, incarnation: &Incarnation, urgent: bool, now: u64) -> bool {
+    /// Moves runs off a worker; true once it has none.
+    pub(crate) fn drain(&mut self, incarnation: &Incarnation, urgent: bool, now: u64) -> bool {
         let Some(worker) = self.workers.get(incarnation) else {
             return true;
         };
@@ -97,7 +102,7 @@
         }
         for (task, run) in moves {
             info!(
-                "event=move task={task} run={run} worker={incarnation} reason=\"upkeep of its machine\""
+                "event=move task={task} run={run} worker={incarnation} reason=\"maintenance of its machine\""
             );
             self.counts.moved += 1;
             self.halt(incarnation, task, run, now);
@@ -105,19 +110,20 @@
         false
     }
 
-    /// Whether one more task of a lasting step may be away.
+    /// Whether the disruption budget of a long-running step lets one more of its tasks be
+    /// unavailable.
     pub(crate) fn may_move(&self, task: TaskId, now: u64) -> bool {
         let Some(job) = self.jobs.get(&task.job) else {
             return true;
         };
-        let Some(most) = job.allowance(task.step) else {
+        let Some(budget) = job.allowance(task.step) else {
             return true;
         };
         let Some(round) = job.progress.rounds.get(&task.round) else {
             return true;
         };
         let tasks = &round.steps[usize::from(task.step)].tasks;
-        let away = tasks.iter().enumerate().filter(|(index, t)| {
+        let unavailable = tasks.iter().enumerate().filter(|(index, t)| {
             let id = TaskId { index: *index as u16, ..task };
             if job.progress.away(id) {
                 return job.handed_lately(now);
@@ -127,6 +133,6 @@
                 active.is_some_and(|f| f.stage == Stage::Up && f.percent >= 100.0)
             })
         });
-        away.count() < usize::from(most)
+        unavailable.count() < usize::from(budget)
     }
 }
--- a/crates/owner/src/workers/evacuated.rs
+++ b/crates/owner/src/workers/evacuated.rs
@@ -1,7 +1,8 @@
-//! Data centres that the operator empties: nothing is started on their workers until it is taken back.
+//! Data centres that the operator evacuates: nothing starts on their workers until the evacuation
+//! is withdrawn.
 //!
-//! What runs there goes on: a run that was stopped would lose work or be away for its users, and what is
-//! emptied still answers.
+//! Running tasks go on: stopping one would lose work or make a service unavailable, and workers in
+//! an evacuated data centre still answer.
 
 use log::info;
 use std::collections::BTreeSet;
@@ -9,8 +10,8 @@
 use crate::{Cell, Worker};
 
 impl Cell {
-    /// Notes which data centres are being emptied now; tasks that wait may find workers elsewhere, or
-    /// those that are back.
+    /// Sets which data centres are evacuated; waiting tasks may find workers elsewhere, or in a
+    /// data centre that is available again.
     pub fn empty_centres(&mut self, centres: &BTreeSet<String>) {
         if *centres == self.emptied {
             return;
@@ -26,11 +27,11 @@
         }
         self.emptied.clone_from(centres);
         for worker in self.workers.values_mut() {
-            worker.mark_emptied(&self.emptied);
+            worker.update_evacuated(&self.emptied);
         }
     }
 
-    /// Whether every worker of the cell is in a data centre that is being emptied.
+    /// Whether every listed worker of the cell is in an evacuated data centre.
     pub(crate) fn all_emptied(&self) -> bool {
         let mut listed = self.workers.values().filter(|w| w.listed);
         !self.emptied.is_empty() && listed.all(|w| w.emptied)
@@ -38,13 +39,13 @@
 }
 
 impl Worker {
-    /// The data centre that it is in, if the list has shown it.
+    /// Its data centre, if it has been listed.
     pub(crate) fn data_centre(&self) -> Option<&str> {
         Some(&self.listing.as_ref()?.data_centre)
     }
 
-    /// Notes whether its data centre is among those that are being emptied.
-    pub(crate) fn mark_emptied(&mut self, centres: &BTreeSet<String>) {
+    /// Updates whether its data centre is evacuated.
+    pub(crate) fn update_evacuated(&mut self, centres: &BTreeSet<String>) {
         self.emptied = self.data_centre().is_some_and(|own| centres.contains(own));
     }
 }
--- a/crates/owner/src/workers/health.rs
+++ b/crates/owner/src/workers/health.rs
@@ -1,4 +1,4 @@
-//! Workers that fail, stall or slow down what they run.
+//! Backs off from workers that fail, and moves runs that make no progress.
 
 use log::warn;
 
@@ -6,28 +6,29 @@
 
 use crate::{Cell, Stage};
 
-/// Failed ends in a row that set a worker aside: tasks fail by their own fault too, but rarely
-/// three in a row.
-const FAILS: u32 = 3;
+/// The number of failed runs in a row after which a worker gets a backoff: tasks fail by their own
+/// fault too, but rarely three in a row.
+const MAX_FAILS: u32 = 3;
 
-/// How long a failing worker is left alone the first time, in milliseconds; doubled each time.
-const FIRST_PAUSE: u64 = 1_500;
+/// The first backoff of a failing worker, in milliseconds; doubled each time.
+const FIRST_BACKOFF: u64 = 1_500;
 
-/// The longest such time, in milliseconds.
-const LONGEST_PAUSE: u64 = 12_000;
+/// The longest backoff, in milliseconds.
+const MAX_BACKOFF: u64 = 12_000;
 
-/// How long a task may show no progress before it is taken to stand still, in milliseconds; a
-/// worker tells of progress several times a second.
-const STILL: u64 = 1_500;
+/// How long a run may show no progress before it counts as stalled, in milliseconds; a worker
+/// reports progress several times a second.
+const STALLED_MS: u64 = 1_500;
 
-/// The share of its estimate for which a task may show none: progress comes in whole percents.
-const STILL_SHARE: u64 = 25;
+/// The divisor of a run's estimate that gives the time without progress allowed to long runs, as
+/// progress comes in whole percents.
+const STALLED_DIVISOR: u64 = 25;
 
-/// Runs told to keep less than this share of their speed, in percent, are not judged by progress.
-const SLOWED: u32 = 50;
+/// Runs with a speed limit below this, in percent, are not checked for progress.
+const MIN_CHECKED_LIMIT: u32 = 50;
 
 impl Cell {
-    /// Counts how a run ended for or against its worker.
+    /// Counts the end of a run for or against its worker.
     pub(crate) fn judge(&mut self, incarnation: &Incarnation, how: How, task: TaskId, now: u64) {
         let Some(worker) = self.workers.get_mut(incarnation) else {
             return;
@@ -39,35 +40,37 @@
             }
             How::Failed => {
                 worker.fails += 1;
-                if worker.fails >= FAILS {
-                    worker.fails = FAILS - 1;
-                    let pause = (FIRST_PAUSE << worker.backoffs.min(4)).min(LONGEST_PAUSE);
+                if worker.fails >= MAX_FAILS {
+                    worker.fails = MAX_FAILS - 1;
+                    let backoff = (FIRST_BACKOFF << worker.backoffs.min(4)).min(MAX_BACKOFF);
                     worker.backoffs += 1;
-                    warn!("event=worker-failing worker={incarnation} task={task} pause_ms={pause}");
-                    self.back_off(incarnation, now + pause);
+                    warn!(
+                        "event=worker-failing worker={incarnation} task={task} pause_ms={backoff}"
+                    );
+                    self.back_off(incarnation, now + backoff);
                 }
             }
             _ => {}
         }
     }
 
-    /// Stops what stands still on a worker, so that it goes on elsewhere.
-    pub(crate) fn notice(&mut self, incarnation: &Incarnation, now: u64) {
+    /// Stops runs that make no progress on a worker, so that they continue elsewhere.
+    pub(crate) fn move_stalled(&mut self, incarnation: &Incarnation, now: u64) {
         let Some(worker) = self.workers.get(incarnation) else {
             return;
         };
-        let still: Vec<_> = worker
+        let stalled: Vec<_> = worker
             .flights
             .iter()
-            .filter(|(_, f)| f.stage == Stage::Up && f.pace >= SLOWED)
+            .filter(|(_, f)| f.stage == Stage::Up && f.pace >= MIN_CHECKED_LIMIT)
             .filter(|(_, f)| !f.lasting || f.percent < 100.0)
             .filter(|(_, f)| {
-                let patience = STILL.max(f.estimate / STILL_SHARE);
-                now.saturating_sub(f.changed_at.max(f.since)) > patience
+                let allowed = STALLED_MS.max(f.estimate / STALLED_DIVISOR);
+                now.saturating_sub(f.changed_at.max(f.since)) > allowed
             })
             .map(|(&task, f)| (task, f.run, f.percent, f.figure, f.filler))
             .collect();
-        for (task, run, percent, figure, filler) in still {
+        for (task, run, percent, figure, filler) in stalled {
             warn!(
                 "event=run-still task={task} run={run} worker={incarnation} percent={percent} figure={figure}"
             );
@@ -75,7 +78,7 @@
                 job.shunned.entry(task).or_default().push(incarnation.clone());
             }
             if !filler {
-                self.back_off(incarnation, now + FIRST_PAUSE);
+                self.back_off(incarnation, now + FIRST_BACKOFF);
             }
             self.counts.moved += 1;
             self.halt(incarnation, task, run, now);
--- a/crates/owner/src/workers/list.rs
+++ b/crates/owner/src/workers/list.rs
@@ -1,4 +1,4 @@
-//! What the list of workers says.
+//! Applies changes of the list of workers.
 
 use log::{Level, debug, info, log};
 
@@ -7,20 +7,21 @@
 use crate::{Cell, Worker};
 
 impl Cell {
-    /// Takes in what a worker says of itself.
+    /// Applies a worker's entry in the list.
     ///
-    /// It says nothing of another worker at the same address: entries outlast their workers, the last write of one that
-    /// has crashed may land after the first of the next, and what the log tells of a worker is older than either. Who is
-    /// there is asked.
+    /// An entry does not prove that another worker at the same address has ended: entries outlast
+    /// their workers, the last write of a crashed worker may land after the first write of the
+    /// next, and the records in the log are older than either. The worker at the address is asked
+    /// instead.
     pub fn list(&mut self, id: &str, listing: Listing, now: u64) {
         let incarnation = self.listed_as(id, listing.start);
-        if self.is_past(&incarnation) {
+        if self.has_ended(&incarnation) {
             return debug!("event=entry-past worker={incarnation}");
         }
-        self.comes_after_earlier(&incarnation, listing.written, now);
+        self.end_earlier(&incarnation, listing.written, now);
         let worker = self.workers.entry(incarnation.clone()).or_insert_with(|| Worker::new(now));
-        let news = worker.listing.as_ref().is_none_or(|l| l.draining != listing.draining);
-        if news {
+        let changed = worker.listing.as_ref().is_none_or(|l| l.draining != listing.draining);
+        if changed {
             let level = if listing.draining { Level::Info } else { Level::Debug };
             log!(
                 level,
@@ -36,21 +37,22 @@
         }
         worker.warm = now + listing.cold;
         worker.listing = Some(listing);
-        worker.mark_emptied(&self.emptied);
+        worker.update_evacuated(&self.emptied);
         worker.listed = true;
         worker.read = true;
     }
 
-    /// The list of workers could not be read: entries may lapse meanwhile though their workers live.
+    /// Notes that the list could not be read: entries may expire meanwhile though their workers are
+    /// alive.
     pub fn list_missed(&mut self, now: u64) {
         self.blind = now;
     }
 
-    /// The list no longer shows a worker; what runs there may go on.
+    /// Notes that a worker is no longer listed; its runs may go on.
     pub fn unlist(&mut self, id: &str, now: u64) {
-        let lives =
+        let listed =
             self.of_id(id).filter(|(_, w)| w.listed).map(|(incarnation, _)| incarnation.clone());
-        for incarnation in lives.collect::<Vec<_>>() {
+        for incarnation in listed.collect::<Vec<_>>() {
             if let Some(worker) = self.workers.get_mut(&incarnation) {
                 worker.listed = false;
                 worker.unlisted_at = now;
--- a/crates/owner/src/workers/mod.rs
+++ b/crates/owner/src/workers/mod.rs
@@ -1,13 +1,13 @@
-//! What is known of workers: who is there, what they answer, when one is lost.
+//! The state of workers: which are present, what they reply, and when one is lost.
 
 pub(crate) mod crash;
 pub(crate) mod drain;
-pub(crate) mod emptied;
+pub(crate) mod evacuated;
 pub(crate) mod health;
-pub(crate) mod held;
 pub(crate) mod lease;
 pub(crate) mod list;
-pub(crate) mod succession;
+pub(crate) mod renewal;
+pub(crate) mod restarts;
 pub(crate) mod trace;
 mod wait;
 pub(crate) mod wave;
--- a/crates/owner/src/workers/renewal.rs
+++ b/crates/owner/src/workers/renewal.rs
@@ -1,4 +1,4 @@
-//! What workers answer to holds.
+//! Handles workers' replies to lease renewals.
 
 use log::{Level, info, log, warn};
 
@@ -6,25 +6,25 @@
 
 use crate::{Cell, Life, Order, Stage};
 
-/// A worker tells no more ends than this in one answer; the platform's figure.
-const ENDS_AT_ONCE: usize = 500;
+/// The most ends that a worker reports in one reply; set by the platform.
+const MAX_ENDS: usize = 500;
 
 impl Cell {
-    /// Takes in a hold's answer; the hold was sent at `sent`.
+    /// Handles the reply to a lease renewal that was sent at `sent`.
     ///
-    /// An answer of another incarnation says nothing of this one but that it is over: its ends and its clock have
-    /// other numbers.
+    /// A reply of another incarnation only shows that this one has ended: its ends and its clock
+    /// are numbered differently.
     pub fn held(&mut self, incarnation: &Incarnation, held: Held, sent: u64, now: u64, wall: u64) {
         if held.start != 0 && held.start != incarnation.start() {
             return self.replaced(incarnation, Successor::Restarted(held.start), now);
         }
         let silent = self.workers.get(incarnation).map_or(0, |w| now.saturating_sub(w.heard));
-        self.tick_of(incarnation, held.clock, now);
+        self.update_clock(incarnation, held.clock, now);
         let Some(worker) = self.workers.get_mut(incarnation) else {
             return;
         };
         if worker.life != Life::Well {
-            // At a takeover every worker is met; one line tells of them all.
+            // After a takeover all workers answer for the first time; one line covers them all.
             let level = if worker.life == Life::Unmet { Level::Debug } else { Level::Info };
             let running = held.running.len();
             log!(
@@ -32,30 +32,30 @@
                 "event=worker-met worker={incarnation} running={running} silent_ms={silent}"
             );
             worker.life = Life::Well;
-            worker.wait.end();
+            worker.wait.withdraw();
             self.clear_silence(incarnation);
-            self.bar_late(incarnation, now);
+            self.bar_late_starts(incarnation, now);
         }
-        let whole = held.ended.len() < ENDS_AT_ONCE;
+        let complete = held.ended.len() < MAX_ENDS;
         for ended in held.ended {
             self.end(incarnation, ended, now, wall);
         }
         for running in &held.running {
-            self.see(incarnation, running, now);
+            self.apply_running(incarnation, running, now);
         }
-        if whole {
-            self.miss(incarnation, &held.running, sent, now);
+        if complete {
+            self.remove_missing(incarnation, &held.running, sent, now);
         }
         self.learn(incarnation, now);
         self.foresee(now);
         self.throttle_fillers(incarnation, now);
-        self.notice(incarnation, now);
+        self.move_stalled(incarnation, now);
     }
 
-    /// A hold had no answer.
+    /// Handles a lease renewal without reply.
     pub fn hold_failed(&mut self, incarnation: &Incarnation, now: u64) {
         if self.workers.get(incarnation).is_some_and(|w| w.life == Life::Unmet) {
-            self.tell_unmet(incarnation, now);
+            self.log_unmet(incarnation, now);
             self.note_silence(incarnation, now);
         }
         if let Some(worker) = self.workers.get_mut(incarnation)
@@ -67,13 +67,14 @@
         }
     }
 
-    /// Tells once of a worker with inherited runs that can't be reached, and how long they are waited for.
-    fn tell_unmet(&self, incarnation: &Incarnation, now: u64) {
+    /// Logs once that a worker with inherited runs can't be reached, and how long the owner waits
+    /// for it.
+    fn log_unmet(&self, incarnation: &Incarnation, now: u64) {
         let worker = self.workers.get(incarnation).filter(|w| !w.flights.is_empty());
         let Some(worker) = worker.filter(|_| !self.silent(incarnation)) else {
             return;
         };
-        let left = self.over_at(worker).saturating_sub(now);
+        let left = self.leases_end(worker).saturating_sub(now);
         info!(
             "event=worker-unmet worker={incarnation} runs={} listed={} left_ms={left}",
             worker.flights.len(),
@@ -81,21 +82,21 @@
         );
     }
 
-    /// A hold was refused; true if a later owner is the reason.
-    pub fn hold_refused(&mut self, incarnation: &Incarnation, told: Told) -> bool {
-        warn!("event=hold-refused worker={incarnation} told=\"{told}\"");
-        told == Told::Fenced
+    /// Handles a refused lease renewal; true if a successor of this owner is the reason.
+    pub fn hold_refused(&mut self, incarnation: &Incarnation, reply: Told) -> bool {
+        warn!("event=hold-refused worker={incarnation} told=\"{reply}\"");
+        reply == Told::Fenced
     }
 
-    /// Takes in what a worker says of a run that goes on.
-    fn see(&mut self, incarnation: &Incarnation, running: &Running, now: u64) {
+    /// Applies a worker's report of a run that goes on.
+    fn apply_running(&mut self, incarnation: &Incarnation, running: &Running, now: u64) {
         let Running { task, run, saved, .. } = running;
         let Some(worker) = self.workers.get_mut(incarnation) else {
             return;
         };
         let known = worker.flights.get_mut(task).filter(|f| f.run == *run);
         let Some(active) = known else {
-            // A start that was given up has been carried out late.
+            // A start that was withdrawn has been carried out late.
             info!("event=run-unasked task={task} run={run} worker={incarnation}");
             self.orders.push(Order::Stop { worker: incarnation.clone(), task: *task, run: *run });
             return;
@@ -113,14 +114,14 @@
             record.saved.clone_from(saved);
         }
         if job.progress.state.over() {
-            // An earlier owner ended the job and may not have come to stop its runs.
+            // An earlier owner ended the job and may not have stopped its runs.
             return self.halt(incarnation, *task, *run, now);
         }
         self.begun(*task);
         self.trust(incarnation, *task, now);
     }
 
-    /// A task of a job is at work.
+    /// Marks a task of a job as started.
     pub(crate) fn begun(&mut self, task: TaskId) {
         let Some(job) = self.jobs.get_mut(&task.job) else {
             return;
@@ -132,22 +133,28 @@
         }
     }
 
-    /// Takes off runs that an answer should have shown and did not.
-    fn miss(&mut self, incarnation: &Incarnation, running: &[Running], sent: u64, now: u64) {
+    /// Removes runs that a reply should have listed but did not.
+    fn remove_missing(
+        &mut self,
+        incarnation: &Incarnation,
+        running: &[Running],
+        sent: u64,
+        now: u64,
+    ) {
         let Some(worker) = self.workers.get(incarnation) else {
             return;
         };
-        let shown = |task: &TaskId, run| running.iter().any(|r| r.task == *task && r.run == run);
+        let listed = |task: &TaskId, run| running.iter().any(|r| r.task == *task && r.run == run);
         let missing: Vec<_> = worker
             .flights
             .iter()
             .filter(|(_, f)| match f.stage {
-                // Our fencing token bars it from now on.
+                // Our fencing token prevents it from starting from now on.
                 Stage::Inherited => true,
                 Stage::Up | Stage::Stopped => f.since < sent,
                 _ => false,
             })
-            .filter(|(task, f)| !shown(task, f.run))
+            .filter(|(task, f)| !listed(task, f.run))
             .map(|(task, f)| (*task, f.run, f.stage))
             .collect();
         for (task, run, stage) in missing {
--- a/crates/owner/src/workers/trace.rs
+++ b/crates/owner/src/workers/trace.rs
@@ -1,43 +1,45 @@
-//! What the log holds of workers, so that the next owner reaches each that was given work.
+//! The descriptions of workers in the log, by which a successor reaches each worker that was given
+//! work.
 //!
-//! A worker that leaves without a word is no longer listed but serves on. An owner that takes over
-//! needs an address for it; else its runs go on unheard until every lease there is over. One short
-//! record a incarnation of a worker costs less than an address in each run.
+//! A worker that leaves without notice is no longer listed but keeps running its tasks. A successor
+//! needs its address; otherwise the state of its runs is unknown until all its leases expire. One
+//! short record per incarnation takes less space than an address in each run.
 
 use serde::{Deserialize, Serialize};
 
 use myrtle_job::{Incarnation, Listing, RecordError, decode, encode};
 
-use crate::workers::wait::{Wait, Written};
+use crate::workers::wait::{LoggedWait, Wait};
 
 use crate::{Cell, Worker};
 
-/// A worker's description for the log; an empty value drops it.
+/// A worker's encoded description for the log; an empty value removes it.
 pub type Trace = (Incarnation, Vec<u8>);
 
-/// What the log holds of a worker; what came later was added at the end.
+/// The record of a worker; fields were added at the end.
 #[derive(Debug, Serialize, Deserialize)]
 struct Record {
-    /// Its description.
+    /// The worker's entry in the list.
     listing: Listing,
-    /// How long it has been waited for.
-    wait: Written,
+    /// How long no lease has been given to it.
+    wait: LoggedWait,
 }
 
 impl Record {
-    /// Reads a record, also one of a description alone.
+    /// Decodes a record, or one of the older form with only a listing.
     fn read(bytes: &[u8]) -> Result<Self, RecordError> {
-        let alone = || decode(bytes).map(|listing| Self { listing, wait: Written::default() });
-        decode(bytes).or_else(|_| alone())
+        let listing_only =
+            || decode(bytes).map(|listing| Self { listing, wait: LoggedWait::default() });
+        decode(bytes).or_else(|_| listing_only())
     }
 }
 
 impl Cell {
-    /// Takes what an earlier owner wrote of a worker that was given work.
+    /// Restores a worker from the record of an earlier owner.
     ///
     /// # Errors
     ///
-    /// The bytes are no description.
+    /// The bytes can't be decoded as a record.
     pub fn recall_worker(
         &mut self,
         incarnation: &Incarnation,
@@ -51,42 +53,42 @@
         let worker = self.workers.entry(incarnation.clone()).or_insert_with(|| Worker::new(now));
         worker.wait = wait;
         worker.listing.get_or_insert(listing);
-        worker.mark_emptied(&self.emptied);
+        worker.update_evacuated(&self.emptied);
         worker.logged = true;
         (worker.leaving, worker.leaving_logged) = (leaving, leaving);
         Ok(())
     }
 
-    /// What the log has to hold of workers before the runs go out that are written now.
+    /// The records that have to be in the log before the starts written now are sent.
     pub(crate) fn traces(&mut self) -> Vec<Trace> {
         let forgotten = std::mem::take(&mut self.untraced);
         let mut traces: Vec<_> =
             forgotten.into_iter().map(|incarnation| (incarnation, Vec::new())).collect();
-        let news = |w: &Worker| !w.logged || w.leaving != w.leaving_logged;
-        let fresh = |w: &Worker| !w.flights.is_empty() && news(w) || w.wait.due();
-        for (incarnation, worker) in self.workers.iter_mut().filter(|(_, w)| fresh(w)) {
+        let changed = |w: &Worker| !w.logged || w.leaving != w.leaving_logged;
+        let due = |w: &Worker| !w.flights.is_empty() && changed(w) || w.wait.due();
+        for (incarnation, worker) in self.workers.iter_mut().filter(|(_, w)| due(w)) {
             let Some(mut listing) = worker.listing.clone() else {
                 continue;
             };
             listing.draining = worker.leaving;
             worker.leaving_logged = worker.leaving;
-            let record = Record { listing, wait: worker.wait.write() };
+            let record = Record { listing, wait: worker.wait.take_due() };
             traces.push((incarnation.clone(), encode(&record)));
         }
         traces
     }
 
-    /// The log holds these descriptions.
-    pub(crate) fn traced(&mut self, traces: Vec<Trace>) {
+    /// Marks these records as written to the log.
+    pub(crate) fn mark_logged(&mut self, traces: Vec<Trace>) {
         for (incarnation, record) in traces {
-            let there = !record.is_empty();
+            let present = !record.is_empty();
             match self.workers.get_mut(&incarnation) {
                 Some(worker) => {
-                    worker.logged = there;
-                    worker.wait.written();
+                    worker.logged = present;
+                    worker.wait.mark_written();
                 }
-                // It was forgotten while its description was on the way.
-                None if there => self.untraced.push(incarnation),
+                // The worker was removed while its record was being written.
+                None if present => self.untraced.push(incarnation),
                 None => {}
             }
         }
--- a/crates/owner/src/workers/wave.rs
+++ b/crates/owner/src/workers/wave.rs
@@ -1,4 +1,4 @@
-//! Waves of upkeep: machines are emptied and handed to the platform, a few at a time.
+//! Maintenance waves: machines are drained and handed to the platform, a few at a time.
 
 use log::{info, warn};
 use std::collections::{BTreeMap, BTreeSet};
@@ -7,71 +7,71 @@
 
 use crate::{Cell, Life};
 
-/// The pause before an upkeep that was refused or got no answer is ordered again, in milliseconds.
-const AGAIN: u64 = 400;
+/// The pause before maintenance that was refused or got no reply is ordered again, in milliseconds.
+const RETRY_AFTER: u64 = 400;
 
-/// How long after the order the same incarnation must still be there to count as spared, in milliseconds:
-/// an upkeep and the listing of the new incarnation take less.
-const SPARED_AFTER: u64 = 6_000;
+/// How long after the order the same incarnation must still be present for its machine to count as
+/// skipped, in milliseconds: maintenance and the listing of the next incarnation take less.
+const SKIPPED_AFTER: u64 = 6_000;
 
-/// The share of a machine's part of the wave's time that it may take to be emptied; after that
-/// what can be started again is stopped.
-const EMPTYING: f64 = 0.5;
+/// The share of a machine's time in the wave that draining may take; after that, runs that can be
+/// started again are stopped.
+const DRAIN_SHARE: f64 = 0.5;
 
-/// A wave as the operator asked for it.
+/// A maintenance wave as the operator ordered it.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct Wave {
     /// Its number.
     pub number: u64,
-    /// The machines.
+    /// The machines to maintain.
     pub machines: Vec<String>,
-    /// The time it may take, in milliseconds.
+    /// The time that the wave may take, in milliseconds.
     pub duration: u64,
-    /// How many machines may be down at once.
+    /// The number of machines that may be down at once.
     pub limit: usize,
 }
 
 impl Wave {
-    /// The part of its time that each machine has, in milliseconds.
-    fn part(&self) -> f64 {
+    /// The share of the wave's time that each machine has, in milliseconds.
+    fn machine_time(&self) -> f64 {
         self.duration as f64 * self.limit.max(1) as f64 / self.machines.len().max(1) as f64
     }
 }
 
-/// How far a machine has come.
+/// The progress of a machine.
 #[derive(Debug, Clone, PartialEq, Eq)]
 enum Turn {
-    /// Its worker is being emptied since a moment.
-    Emptying { incarnation: Incarnation, since: u64 },
-    /// The order is under way or failed; ordered again at a moment.
-    Ordered { incarnation: Incarnation, again: u64 },
-    /// It went down at a moment; another incarnation is awaited.
+    /// Its worker is being drained.
+    Draining { incarnation: Incarnation, since: u64 },
+    /// Maintenance has been ordered; it is ordered again at `retry_at` unless it has begun.
+    Ordered { incarnation: Incarnation, retry_at: u64 },
+    /// It has gone down; another incarnation is expected.
     Down { incarnation: Incarnation, since: u64 },
 }
 
-/// A wave under way.
+/// The state of a wave in progress.
 #[derive(Debug, Clone)]
 pub struct WaveState {
     wave: Wave,
     since: u64,
     turns: BTreeMap<String, Turn>,
     done: BTreeSet<String>,
-    shown: bool,
+    recorded: bool,
 }
 
-/// What came of an upkeep that was ordered.
+/// The outcome of an order for maintenance.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Upkeep {
-    /// The machine goes down, or went down before.
+    /// The machine goes down, or has been down before.
     Begun,
-    /// The machine does not exist or is not of that wave.
+    /// The machine does not exist or is not part of the wave.
     Dropped,
-    /// Not now, or no answer.
+    /// Maintenance is not possible now, or there was no reply.
     Again,
 }
 
 impl Cell {
-    /// Takes in a wave; `done` are the machines that earlier owners have seen through.
+    /// Adds a wave; `done` are the machines that earlier owners have completed.
     pub fn add_wave(&mut self, wave: Wave, done: BTreeSet<String>, now: u64) {
         if self.waves.contains_key(&wave.number) {
             return;
@@ -88,23 +88,25 @@
             since: now,
             turns: BTreeMap::new(),
             done,
-            shown: false,
+            recorded: false,
             wave: wave.clone(),
         };
         self.waves.insert(wave.number, state);
     }
 
-    /// Waves whose records have to be written: number, machines done, whether all are.
+    /// The waves whose records have to be written: number, completed machines, whether all are
+    /// completed.
     pub fn wave_news(&mut self) -> Vec<(u64, BTreeSet<String>, bool)> {
-        let news = self.waves.iter_mut().filter(|(_, w)| !w.shown);
-        news.map(|(&number, w)| {
-            w.shown = true;
-            (number, w.done.clone(), w.complete())
-        })
-        .collect()
+        let changed = self.waves.iter_mut().filter(|(_, w)| !w.recorded);
+        changed
+            .map(|(&number, w)| {
+                w.recorded = true;
+                (number, w.done.clone(), w.complete())
+            })
+            .collect()
     }
 
-    /// Goes on with every wave; returns upkeeps to order.
+    /// Advances all waves; returns the machines to order maintenance for, and their waves.
     pub fn waves(&mut self, now: u64) -> Vec<(String, u64)> {
         let numbers: Vec<u64> = self.waves.keys().copied().collect();
         let mut orders = Vec::new();
@@ -118,16 +120,16 @@
         orders
     }
 
-    /// Takes in what came of an upkeep.
-    pub fn upkeep_told(&mut self, number: u64, machine: &str, told: Upkeep, now: u64) {
-        info!("event=upkeep-told wave={number} machine={machine} outcome={told:?}");
+    /// Handles the outcome of an order for maintenance.
+    pub fn upkeep_told(&mut self, number: u64, machine: &str, outcome: Upkeep, now: u64) {
+        info!("event=upkeep-told wave={number} machine={machine} outcome={outcome:?}");
         let Some(state) = self.waves.get_mut(&number) else {
             return;
         };
         let Some(Turn::Ordered { incarnation, .. }) = state.turns.get(machine).cloned() else {
             return;
         };
-        match told {
+        match outcome {
             Upkeep::Begun => {
                 state.turns.insert(
                     machine.into(),
@@ -137,50 +139,52 @@
             }
             Upkeep::Dropped => state.finish(machine),
             Upkeep::Again => {
-                let again = now + AGAIN;
-                state.turns.insert(machine.into(), Turn::Ordered { incarnation, again });
+                let retry_at = now + RETRY_AFTER;
+                state.turns.insert(machine.into(), Turn::Ordered { incarnation, retry_at });
             }
         }
     }
 
-    /// Takes the machines of a wave as far as they go now.
+    /// Advances the machines of a wave as far as possible.
     fn advance(&mut self, state: &mut WaveState, now: u64, orders: &mut Vec<(String, u64)>) {
         let turns: Vec<_> = state.turns.iter().map(|(m, t)| (m.clone(), t.clone())).collect();
         for (machine, turn) in turns {
             let incarnation = match turn {
-                Turn::Emptying { incarnation, since } => {
-                    let urgent = now.saturating_sub(since) as f64 > EMPTYING * state.wave.part();
-                    self.empty(&incarnation, urgent, now).then_some(incarnation)
+                Turn::Draining { incarnation, since } => {
+                    let urgent =
+                        now.saturating_sub(since) as f64 > DRAIN_SHARE * state.wave.machine_time();
+                    self.drain(&incarnation, urgent, now).then_some(incarnation)
                 }
-                Turn::Ordered { incarnation, again } => (now >= again).then_some(incarnation),
+                Turn::Ordered { incarnation, retry_at } => (now >= retry_at).then_some(incarnation),
                 Turn::Down { incarnation, since } => {
                     self.end_turn(state, &machine, &incarnation, since, now);
                     None
                 }
             };
             if let Some(incarnation) = incarnation {
-                let again = now + AGAIN;
-                state.turns.insert(machine.clone(), Turn::Ordered { incarnation, again });
+                let retry_at = now + RETRY_AFTER;
+                state.turns.insert(machine.clone(), Turn::Ordered { incarnation, retry_at });
                 orders.push((machine, state.wave.number));
             }
         }
         self.begin_turns(state, now);
         if state.complete() && state.since > 0 {
-            tell_over(state, now);
+            log_end(state, now);
         }
     }
 
-    /// A worker that is being emptied has started anew: its machine is as far from its upkeep as before.
-    pub(crate) fn waves_go_on(&mut self, incarnation: &Incarnation, next: &Incarnation) {
+    /// Moves the turn of a worker that has restarted to its next incarnation: its machine still
+    /// needs maintenance.
+    pub(crate) fn rebind_turns(&mut self, incarnation: &Incarnation, next: &Incarnation) {
         let turns = self.waves.values_mut().flat_map(|state| state.turns.values_mut());
         for turn in turns {
-            let (Turn::Emptying { incarnation: of, .. } | Turn::Ordered { incarnation: of, .. }) =
-                turn
+            let (Turn::Draining { incarnation: current, .. }
+            | Turn::Ordered { incarnation: current, .. }) = turn
             else {
                 continue;
             };
-            if of == incarnation {
-                of.clone_from(next);
+            if current == incarnation {
+                current.clone_from(next);
                 if let Some(worker) = self.workers.get_mut(next) {
                     worker.in_maintenance = true;
                 }
@@ -197,9 +201,9 @@
         since: u64,
         now: u64,
     ) {
-        // The same incarnation is there if the upkeep had been done before.
-        let spared = now.saturating_sub(since) > SPARED_AFTER;
-        if self.life_on(machine).is_some_and(|l| l != *incarnation || spared) {
+        // The same incarnation is there if maintenance was done before.
+        let skipped = now.saturating_sub(since) > SKIPPED_AFTER;
+        if self.incarnation_on(machine).is_some_and(|l| l != *incarnation || skipped) {
             state.finish(machine);
             if let Some(worker) = self.workers.get_mut(incarnation) {
                 worker.in_maintenance = false;
@@ -207,31 +211,31 @@
         }
     }
 
-    /// Begins with as many machines as may be down beside those that have begun.
+    /// Begins the turns of further machines, up to the number that may be down at once.
     fn begin_turns(&mut self, state: &mut WaveState, now: u64) {
         while state.turns.len() < state.wave.limit {
             let next = state.wave.machines.iter().find(|m| {
                 !state.done.contains(*m)
                     && !state.turns.contains_key(*m)
-                    && self.life_on(m).is_some()
+                    && self.incarnation_on(m).is_some()
             });
             let Some((machine, incarnation)) =
-                next.and_then(|m| Some((m.clone(), self.life_on(m)?)))
+                next.and_then(|m| Some((m.clone(), self.incarnation_on(m)?)))
             else {
                 break;
             };
             if let Some(worker) = self.workers.get_mut(&incarnation) {
                 worker.in_maintenance = true;
             }
-            state.turns.insert(machine, Turn::Emptying { incarnation, since: now });
+            state.turns.insert(machine, Turn::Draining { incarnation, since: now });
         }
     }
 
-    /// The incarnation of a worker that answers on a machine.
-    fn life_on(&self, machine: &str) -> Option<Incarnation> {
-        let on = |l: &myrtle_job::Listing| l.machine.as_deref() == Some(machine);
-        let mut lives = self.workers.iter().filter(|(_, w)| w.listed && w.life == Life::Well);
-        lives.find(|(_, w)| w.listing.as_ref().is_some_and(on)).map(|(id, _)| id.clone())
+    /// The incarnation of an answering worker on a machine.
+    fn incarnation_on(&self, machine: &str) -> Option<Incarnation> {
+        let on_machine = |l: &myrtle_job::Listing| l.machine.as_deref() == Some(machine);
+        let mut listed = self.workers.iter().filter(|(_, w)| w.listed && w.life == Life::Well);
+        listed.find(|(_, w)| w.listing.as_ref().is_some_and(on_machine)).map(|(id, _)| id.clone())
     }
 }
 
@@ -243,14 +247,14 @@
     fn finish(&mut self, machine: &str) {
         self.turns.remove(machine);
         self.done.insert(machine.into());
-        self.shown = false;
+        self.recorded = false;
     }
 }
 
-/// Tells that a wave is over, and whether it was in time.
-fn tell_over(state: &mut WaveState, now: u64) {
+/// Logs that a wave has ended, and whether it was in time.
+fn log_end(state: &mut WaveState, now: u64) {
     let took = now.saturating_sub(state.since);
-    // Told once.
+    // 0 marks the end as logged.
     state.since = 0;
     if took > state.wave.duration {
         warn!("event=wave-late wave={} took_ms={took}", state.wave.number);
--- a/crates/owner/src/workers/worker.rs
+++ b/crates/owner/src/workers/worker.rs
@@ -1,4 +1,4 @@
-//! Workers as the owner sees them.
+//! Workers as the owner tracks them.
 
 use std::sync::Arc;
 
@@ -10,25 +10,25 @@
 use crate::workers::wait::Wait;
 use crate::{Flight, Flights, Stage};
 
-/// Whether a life of a worker can be given work.
+/// Whether an incarnation of a worker answers.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Life {
     /// It has not answered this owner yet.
     Unmet,
-    /// Its last hold was answered.
+    /// It answered its last lease renewal.
     Well,
-    /// It does not answer; what runs there may go on.
+    /// It does not answer; its runs may go on.
     Silent,
-    /// It is surely over, or every lease there is.
+    /// It has certainly ended, or all its leases have.
     Gone,
 }
 
-/// A filler that has ended but still shows in figures.
+/// A filler that has ended but is still included in the latest reports.
 #[derive(Debug, Clone)]
 pub(crate) struct EndedFiller {
-    /// What it ran.
+    /// The image that it ran.
     pub(crate) image: Arc<str>,
-    /// What it used at last, in thousandths of a core.
+    /// Its last reported use, in thousandths of a core.
     pub(crate) used: f64,
     /// When it ended.
     pub(crate) ended_at: u64,
@@ -37,68 +37,69 @@
 /// One incarnation of a worker.
 #[derive(Debug, Clone)]
 pub struct Worker {
-    /// Its description, if the list has shown one.
+    /// Its entry in the list, if it was ever listed or restored from the log.
     pub listing: Option<Listing>,
-    /// Whether the list shows it now.
+    /// Whether it is listed now.
     pub listed: bool,
-    /// Whether this owner has read its entry in the list; else it is known from the log or from an answer.
+    /// Whether this owner has read its entry in the list; otherwise it is known from the log or
+    /// from a reply.
     pub(crate) read: bool,
-    /// When the list ceased to show it.
+    /// When it was last removed from the list.
     pub unlisted_at: u64,
-    /// Whether it can be given work.
+    /// Whether it answers.
     pub life: Life,
     /// When it last answered.
     pub heard: u64,
-    /// Its clock when it last answered, and the steady clock then.
+    /// Its clock at its last answer, and the host's steady clock then.
     pub clock: Option<(u64, u64)>,
-    /// The end of every lease there, on its clock.
+    /// The end of the last of its leases, on its clock.
     pub until: u64,
-    /// How long it has been waited for.
+    /// How long no lease has been given to it while it does not answer.
     pub(crate) wait: Wait,
-    /// The runs there.
+    /// Its active runs.
     pub flights: Flights,
-    /// Ends up to this number were taken in.
+    /// The number up to which its ends were received.
     pub taken: u64,
-    /// Ends up to this number are in the log.
+    /// The number up to which its ends are in the log.
     pub noted: u64,
-    /// No work before this time, after refusals or failures.
+    /// The end of its backoff after refusals or failures.
     pub backoff_until: u64,
-    /// Failed ends since the last good one.
+    /// The number of failed runs since the last successful one.
     pub fails: u32,
-    /// How often in a row it was set aside.
+    /// The number of backoffs in a row.
     pub backoffs: u32,
-    /// When its figures last changed.
+    /// When one of its reported figures last changed.
     pub reported_at: u64,
-    /// What fillers used in the last window, by image.
+    /// The usage of fillers in the last window, by image.
     pub usage: Usage,
-    /// What is foreseen for its serving tasks, by image.
+    /// The load forecasts of its serving tasks, by image.
     pub(crate) outlooks: Vec<LoadForecast>,
-    /// When fillers were last slowed here.
+    /// When its fillers were last throttled.
     pub throttled_at: u64,
-    /// Fillers that ended lately.
+    /// Fillers that ended recently.
     pub(crate) ended_fillers: Vec<EndedFiller>,
     /// Whether the log holds its description.
     pub logged: bool,
-    /// Whether it is being emptied for the upkeep of its machine.
+    /// Whether it is being drained for maintenance of its machine.
     pub in_maintenance: bool,
-    /// Whether its data centre is being emptied.
+    /// Whether its data centre is evacuated.
     pub emptied: bool,
-    /// Until when it is slow from its start.
+    /// Until when it is slow after its own start.
     pub warm: u64,
-    /// When it leaves, if it said so.
+    /// When it leaves, if it announced that.
     pub leaves: Option<u64>,
     /// Whether it was about to leave when it last answered.
     pub(crate) leaving: bool,
-    /// Whether the log says so.
+    /// The value of `leaving` in the log.
     pub(crate) leaving_logged: bool,
-    /// When earlier incarnations of the worker started.
-    pub(crate) before: Vec<u64>,
-    /// Starts that got no answer lately, here or at earlier incarnations: task, run and when.
+    /// The start times of earlier incarnations of the worker.
+    pub(crate) earlier_starts: Vec<u64>,
+    /// Recent starts without reply, here or at earlier incarnations: task, run and time.
     pub(crate) unanswered: Vec<(TaskId, u32, u64)>,
 }
 
 impl Worker {
-    /// A life that has only been heard of.
+    /// An incarnation that has not answered yet.
     pub fn new(now: u64) -> Self {
         Self {
             listing: None,
@@ -128,12 +129,12 @@
             leaves: None,
             leaving: false,
             leaving_logged: false,
-            before: Vec::new(),
+            earlier_starts: Vec::new(),
             unanswered: Vec::new(),
         }
     }
 
-    /// Takes a run off that has ended, if it is the one there.
+    /// Removes a run that has ended, if it is the one there.
     pub(crate) fn drop_flight(&mut self, task: TaskId, run: u32, now: u64) -> Option<Flight> {
         self.flights.get(&task).filter(|f| f.run == run)?;
         let active = self.flights.remove(&task)?;
@@ -143,7 +144,7 @@
         Some(active)
     }
 
-    /// What it has.
+    /// Its total room; empty if it was never listed.
     pub fn room(&self) -> Room {
         self.listing.as_ref().map_or(Room::default(), |l| l.room)
     }
@@ -153,34 +154,34 @@
         f64::from(self.room().cpu.max(1))
     }
 
-    /// What the runs there count.
+    /// The room that its runs claim.
     pub fn used(&self) -> Room {
         self.flights.sums().claimed
     }
 
-    /// What is left.
+    /// The room that is not claimed.
     pub fn free(&self) -> Room {
         self.room().less(&self.used())
     }
 
-    /// Whether it is about to leave.
+    /// Whether it has announced that it leaves.
     pub fn draining(&self) -> bool {
         self.listing.as_ref().is_some_and(|l| l.draining)
     }
 
-    /// Whether it is to be held: it can be given work, or may run what it was given.
+    /// Whether its leases are to be renewed: it can be given work, or may still run tasks.
     pub fn wants_hold(&self) -> bool {
         self.listed || self.listing.is_some() && self.life != Life::Gone
     }
 
-    /// Whether new work may go there.
+    /// Whether new work may start there.
     pub fn open(&self, now: u64) -> bool {
         self.life == Life::Well
             && self.listed
             && !self.draining()
             && !self.in_maintenance
             && !self.emptied
-            && !self.wait.bars()
+            && !self.wait.forbids_leases()
             && self.backoff_until <= now
     }
 
@@ -189,7 +190,7 @@
         self.listing.as_ref()?.labels.last().map(String::as_str)
     }
 
-    /// Whether a lasting task is there.
+    /// Whether it runs a long-running task.
     pub fn lasts(&self) -> bool {
         self.flights.sums().long_running
     }
@@ -199,7 +200,7 @@
         self.listing.as_ref().is_some_and(|l| l.labels.iter().any(|x| x == label))
     }
 
-    /// The fillers that are at work there.
+    /// Its running fillers.
     pub(crate) fn fillers(&self) -> impl Iterator<Item = (&TaskId, &Flight)> {
         self.flights.iter().filter(|(_, f)| f.filler && f.stage == Stage::Up)
     }
@@ -209,7 +210,7 @@
         f64::from(self.room().cpu) - self.flights.sums().non_fillers
     }
 
-    /// The processors that its fillers ask for at their paces, in thousandths of a core.
+    /// The processors that its fillers ask for at their speed limits, in thousandths of a core.
     pub fn filled(&self) -> f64 {
         self.flights.sums().fillers
     }
