--- /dev/null
+++ b/crates/owner/src/workers/renewal.rs
@@ -0,0 +1,170 @@
+//! Handles workers' replies to lease renewals.
+
+use log::{Level, info, log, warn};
+
+use myrtle_job::{Held, Incarnation, Running, State, Successor, TaskId, Told};
+
+use crate::{Cell, Life, Order, Stage};
+
+/// The most ends that a worker reports in one reply; set by the platform.
+const MAX_ENDS: usize = 500;
+
+impl Cell {
+    /// Handles the reply to a lease renewal that was sent at `sent`.
+    ///
+    /// A reply of another incarnation only shows that this one has ended: its ends and its clock
+    /// are numbered differently.
+    pub fn held(&mut self, incarnation: &Incarnation, held: Held, sent: u64, now: u64, wall: u64) {
+        if held.start != 0 && held.start != incarnation.start() {
+            return self.replaced(incarnation, Successor::Restarted(held.start), now);
+        }
+        let silent = self.workers.get(incarnation).map_or(0, |w| now.saturating_sub(w.heard));
+        self.update_clock(incarnation, held.clock, now);
+        let Some(worker) = self.workers.get_mut(incarnation) else {
+            return;
+        };
+        if worker.life != Life::Well {
+            // After a takeover all workers answer for the first time; one line covers them all.
+            let level = if worker.life == Life::Unmet { Level::Debug } else { Level::Info };
+            let running = held.running.len();
+            log!(
+                level,
+                "event=worker-met worker={incarnation} running={running} silent_ms={silent}"
+            );
+            worker.life = Life::Well;
+            worker.wait.withdraw();
+            self.clear_silence(incarnation);
+            self.bar_late_starts(incarnation, now);
+        }
+        let complete = held.ended.len() < MAX_ENDS;
+        for ended in held.ended {
+            self.end(incarnation, ended, now, wall);
+        }
+        for running in &held.running {
+            self.apply_running(incarnation, running, now);
+        }
+        if complete {
+            self.remove_missing(incarnation, &held.running, sent, now);
+        }
+        self.learn(incarnation, now);
+        self.foresee(now);
+        self.throttle_fillers(incarnation, now);
+        self.move_stalled(incarnation, now);
+    }
+
+    /// Handles a lease renewal without reply.
+    pub fn hold_failed(&mut self, incarnation: &Incarnation, now: u64) {
+        if self.workers.get(incarnation).is_some_and(|w| w.life == Life::Unmet) {
+            self.log_unmet(incarnation, now);
+            self.note_silence(incarnation, now);
+        }
+        if let Some(worker) = self.workers.get_mut(incarnation)
+            && worker.life == Life::Well
+        {
+            warn!("event=worker-silent worker={incarnation} runs={}", worker.flights.len());
+            worker.life = Life::Silent;
+            self.note_silence(incarnation, now);
+        }
+    }
+
+    /// Logs once that a worker with inherited runs can't be reached, and how long the owner waits
+    /// for it.
+    fn log_unmet(&self, incarnation: &Incarnation, now: u64) {
+        let worker = self.workers.get(incarnation).filter(|w| !w.flights.is_empty());
+        let Some(worker) = worker.filter(|_| !self.silent(incarnation)) else {
+            return;
+        };
+        let left = self.leases_end(worker).saturating_sub(now);
+        info!(
+            "event=worker-unmet worker={incarnation} runs={} listed={} left_ms={left}",
+            worker.flights.len(),
+            worker.listed
+        );
+    }
+
+    /// Handles a refused lease renewal; true if a successor of this owner is the reason.
+    pub fn hold_refused(&mut self, incarnation: &Incarnation, reply: Told) -> bool {
+        warn!("event=hold-refused worker={incarnation} told=\"{reply}\"");
+        reply == Told::Fenced
+    }
+
+    /// Applies a worker's report of a run that goes on.
+    fn apply_running(&mut self, incarnation: &Incarnation, running: &Running, now: u64) {
+        let Running { task, run, saved, .. } = running;
+        let Some(worker) = self.workers.get_mut(incarnation) else {
+            return;
+        };
+        let known = worker.flights.get_mut(task).filter(|f| f.run == *run);
+        let Some(active) = known else {
+            // A start that was withdrawn has been carried out late.
+            info!("event=run-unasked task={task} run={run} worker={incarnation}");
+            self.orders.push(Order::Stop { worker: incarnation.clone(), task: *task, run: *run });
+            return;
+        };
+        if active.show(running, now) {
+            worker.reported_at = now;
+        }
+        let Some(job) = self.jobs.get_mut(&task.job) else {
+            return self.halt(incarnation, *task, *run, now);
+        };
+        if !saved.is_empty()
+            && let Some(record) = job.progress.task_mut(*task)
+            && record.saved != *saved
+        {
+            record.saved.clone_from(saved);
+        }
+        if job.progress.state.over() {
+            // An earlier owner ended the job and may not have stopped its runs.
+            return self.halt(incarnation, *task, *run, now);
+        }
+        self.begun(*task);
+        self.trust(incarnation, *task, now);
+    }
+
+    /// Marks a task of a job as started.
+    pub(crate) fn begun(&mut self, task: TaskId) {
+        let Some(job) = self.jobs.get_mut(&task.job) else {
+            return;
+        };
+        job.freed.remove(&task);
+        if job.progress.state == State::Queued {
+            job.progress.state = State::Running;
+            self.dirty.insert(task.job);
+        }
+    }
+
+    /// Removes runs that a reply should have listed but did not.
+    fn remove_missing(
+        &mut self,
+        incarnation: &Incarnation,
+        running: &[Running],
+        sent: u64,
+        now: u64,
+    ) {
+        let Some(worker) = self.workers.get(incarnation) else {
+            return;
+        };
+        let listed = |task: &TaskId, run| running.iter().any(|r| r.task == *task && r.run == run);
+        let missing: Vec<_> = worker
+            .flights
+            .iter()
+            .filter(|(_, f)| match f.stage {
+                // Our fencing token prevents it from starting from now on.
+                Stage::Inherited => true,
+                Stage::Up | Stage::Stopped => f.since < sent,
+                _ => false,
+            })
+            .filter(|(task, f)| !listed(task, f.run))
+            .map(|(task, f)| (*task, f.run, f.stage))
+            .collect();
+        for (task, run, stage) in missing {
+            info!(
+                "event=run-absent task={task} run={run} worker={incarnation} stage={stage:?} at={now}"
+            );
+            if let Some(worker) = self.workers.get_mut(incarnation) {
+                worker.flights.remove(&task);
+            }
+            self.forget_run(task, run);
+        }
+    }
+}
--- /dev/null
+++ b/crates/owner/src/workers/restarts.rs
@@ -0,0 +1,228 @@
+//! Workers that restart under the same id.
+//!
+//! The state of an incarnation is not carried over to the next: its runs are gone, its clock and
+//! the numbers of its ends don't apply, and orders to it were not orders to the next. Only starts
+//! that may still be carried out late are tracked there, until they are certainly barred.
+//!
+//! Start times order incarnations only as long as no clock is set back. So the list counts only for
+//! an incarnation that does not answer, and only if the list showed that one earlier and now shows
+//! a later start. Any other entry adds an incarnation, and each one is asked. An incarnation that
+//! replies to a request sent after another was known is the later of the two, whatever its start.
+
+use derive_more::Display;
+use log::{info, warn};
+
+use myrtle_job::{Incarnation, Successor, TaskId};
+
+use crate::workers::crash::Cause;
+use crate::{Cell, Flight, Life, Order, Stage, Worker};
+
+/// The number of earlier starts that are kept for a worker, so that old entries of the list don't
+/// add them again.
+const EARLIER_KEPT: usize = 32;
+
+/// How long a start without reply may still be carried out, in milliseconds; the platform gives it
+/// in seconds.
+const LATE_START: u64 = 15_000;
+
+/// The source from which an incarnation is known.
+#[derive(Debug, Clone, Copy, PartialEq, Eq, Display)]
+pub(crate) enum Source {
+    /// The list of workers.
+    #[display("list")]
+    List,
+    /// A reply of its own.
+    #[display("answer")]
+    Answer,
+}
+
+impl Cell {
+    /// Handles a reply that shows that another incarnation, or another worker, is where this one
+    /// was.
+    pub fn replaced(&mut self, incarnation: &Incarnation, by: Successor, now: u64) {
+        let Successor::Restarted(start) = by else {
+            return self.succeeded(incarnation, now);
+        };
+        let next = incarnation.started(start);
+        // One that is no longer known was asked before its successor was.
+        if next == *incarnation || !self.workers.contains_key(incarnation) {
+            return;
+        }
+        let others = self.of_id(incarnation.id()).map(|(incarnation, _)| incarnation);
+        let others: Vec<_> = others.filter(|incarnation| **incarnation != next).cloned().collect();
+        others
+            .iter()
+            .for_each(|incarnation| self.restarted(incarnation, &next, Source::Answer, now));
+        if let Some(worker) = self.workers.get_mut(&next) {
+            worker.earlier_starts.retain(|&before| before != start);
+        }
+    }
+
+    /// Whether some incarnation of a worker is known.
+    pub fn knows(&self, id: &str) -> bool {
+        self.of_id(id).next().is_some()
+    }
+
+    /// The incarnation that a list entry names: without a start, the newest known one.
+    pub(crate) fn listed_as(&self, id: &str, start: u64) -> Incarnation {
+        let newest = self.of_id(id).next_back().filter(|_| start == 0);
+        newest.map_or_else(|| Incarnation::new(id, start), |(incarnation, _)| incarnation.clone())
+    }
+
+    /// Whether an incarnation is known to have ended though an old entry names it.
+    pub(crate) fn has_ended(&self, incarnation: &Incarnation) -> bool {
+        self.of_id(incarnation.id()).any(|(_, w)| w.earlier_starts.contains(&incarnation.start()))
+    }
+
+    /// All known incarnations of a worker, by start.
+    pub(crate) fn of_id(
+        &self,
+        id: &str,
+    ) -> impl DoubleEndedIterator<Item = (&Incarnation, &Worker)> {
+        self.workers.range(Incarnation::new(id, 0)..=Incarnation::new(id, u64::MAX))
+    }
+
+    /// Ends the earlier incarnations of a worker when the list shows `next`, whose entry was
+    /// written at `written`: those with an earlier start whose own entries were read before.
+    ///
+    /// An incarnation that is known from the log or a reply may be the later one, on a host whose
+    /// clock was set back; one that answers will report its own end. Both are asked.
+    pub(crate) fn end_earlier(&mut self, next: &Incarnation, written: u64, now: u64) {
+        let earlier = self.of_id(next.id()).filter(|(incarnation, worker)| {
+            let before =
+                worker.read && worker.listing.as_ref().is_some_and(|l| l.written < written);
+            before && worker.life != Life::Well && incarnation.start() < next.start()
+        });
+        let earlier: Vec<_> = earlier.map(|(incarnation, _)| incarnation.clone()).collect();
+        earlier.iter().for_each(|incarnation| self.restarted(incarnation, next, Source::List, now));
+    }
+
+    /// Replaces an incarnation by the next one; its runs have ended.
+    fn restarted(
+        &mut self,
+        incarnation: &Incarnation,
+        next: &Incarnation,
+        source: Source,
+        now: u64,
+    ) {
+        let Some(old) = self.workers.get(incarnation) else {
+            return;
+        };
+        let (listing, listed) = (old.listing.clone(), old.listed);
+        let (mut before, mut unanswered) = (old.earlier_starts.clone(), old.unanswered.clone());
+        before.push(incarnation.start());
+        // Its start is unknown, and it has not been asked yet: it may be the one that is there.
+        let unnamed = incarnation.start() == 0 && old.life == Life::Unmet;
+        if !unnamed {
+            self.counts.restarts += 1;
+            old.log_restart(incarnation, next, source, now);
+        }
+        let next_worker = self.workers.entry(next.clone()).or_insert_with(|| Worker::new(now));
+        if next_worker.listing.is_none() {
+            // The old entry gives its address; its room comes only from its own entry.
+            next_worker.listing = listing;
+        }
+        next_worker.unanswered.append(&mut unanswered);
+        before.append(&mut next_worker.earlier_starts);
+        before.drain(..before.len().saturating_sub(EARLIER_KEPT));
+        next_worker.earlier_starts = before;
+        // The entry without a start may be its own.
+        next_worker.listed |= unnamed && listed;
+        let inherited = self.move_late_starts(incarnation, next, now);
+        if unnamed {
+            info!("event=worker-named worker={next} runs={inherited}");
+        } else {
+            self.lose(incarnation, Cause::Restarted, now);
+        }
+        self.rebind_turns(incarnation, next);
+        if self.workers.remove(incarnation).is_some_and(|w| w.logged) {
+            self.untraced.push(incarnation.clone());
+        }
+    }
+
+    /// Moves starts that may still be carried out to the next incarnation; returns how many.
+    ///
+    /// An order that was under way when the process ended can't reach the next one by its
+    /// connection. One that the platform holds back could, and the task would run twice.
+    fn move_late_starts(
+        &mut self,
+        incarnation: &Incarnation,
+        next: &Incarnation,
+        now: u64,
+    ) -> usize {
+        let Some(old) = self.workers.get(incarnation) else {
+            return 0;
+        };
+        let late = old.flights.iter().filter(|(_, active)| active.may_start_late());
+        let late: Vec<(TaskId, Flight)> = late.map(|(t, f)| (*t, f.clone())).collect();
+        let count = late.len();
+        for (task, mut active) in late {
+            let Some(next_worker) =
+                self.workers.get_mut(next).filter(|w| !w.flights.contains_key(&task))
+            else {
+                continue;
+            };
+            if active.stage != Stage::Inherited {
+                active.enter(Stage::Stopping, now);
+                let (worker, run) = (next.clone(), active.run);
+                self.orders.push(Order::Stop { worker, task, run });
+            }
+            let run = active.run;
+            next_worker.flights.insert(task, active);
+            let record = self.jobs.get_mut(&task.job).and_then(|j| j.progress.task_mut(task));
+            let record = record.and_then(|t| t.live.iter_mut().find(|r| r.number == run));
+            if let Some(record) = record {
+                record.worker = next.clone();
+                self.dirty.insert(task.job);
+            }
+        }
+        count
+    }
+}
+
+impl Cell {
+    /// Bars starts that were sent to earlier incarnations of a worker and may still be carried out
+    /// at this one, which has not received the stops.
+    pub(crate) fn bar_late_starts(&mut self, incarnation: &Incarnation, now: u64) {
+        let Some(worker) = self.workers.get(incarnation).filter(|w| !w.earlier_starts.is_empty())
+        else {
+            return;
+        };
+        let late = worker.unanswered.iter().filter(|(.., at)| now < at + LATE_START);
+        let untracked =
+            late.filter(|(task, run, _)| worker.flights.get(task).is_none_or(|f| f.run != *run));
+        let stops =
+            untracked.map(|&(task, run, _)| Order::Stop { worker: incarnation.clone(), task, run });
+        self.orders.extend(stops);
+    }
+}
+
+impl Worker {
+    /// Logs that the worker has restarted, and what was lost with the previous incarnation.
+    fn log_restart(&self, incarnation: &Incarnation, next: &Incarnation, source: Source, now: u64) {
+        warn!(
+            "event=worker-restarted worker={} before={} after={} heard={source} runs={} taken={} noted={} \
+             silent_ms={}",
+            incarnation.id(),
+            incarnation.start(),
+            next.start(),
+            self.flights.len(),
+            self.taken,
+            self.noted,
+            now.saturating_sub(self.heard)
+        );
+    }
+
+    /// Records a start without reply.
+    pub(crate) fn note_unanswered(&mut self, task: TaskId, run: u32, now: u64) {
+        self.unanswered.retain(|(.., at)| now < at + LATE_START);
+        self.unanswered.push((task, run, now));
+    }
+}
+
+impl Flight {
+    /// Whether an order to start it may still be carried out.
+    fn may_start_late(&self) -> bool {
+        self.unanswered || matches!(self.stage, Stage::Sent | Stage::Inherited)
+    }
+}
