--- a/crates/owner/src/disruption/forecast.rs
+++ b/crates/owner/src/disruption/forecast.rs
@@ -8,7 +8,7 @@
 use crate::disruption::harm::LIMIT;
 
 /// The times for which loads are forecast, in milliseconds from now; most fillers run about as long
-/// as the last one.
+/// as the last of these times.
 pub(crate) const LOOKAHEAD: [u64; 6] = [100, 500, 900, 1_400, 2_000, 2_700];
 
 /// How far below its limit a pressure has to stay when work is added: more than when work is
--- a/crates/owner/src/orders/replies.rs
+++ b/crates/owner/src/orders/replies.rs
@@ -161,8 +161,8 @@
         self.retract(incarnation, task, run, now);
     }
 
-    /// Handles a run that was refused: it never starts under this number unless an earlier order is
-    /// still under way; in that case it is stopped first.
+    /// Removes a run whose start was refused or withdrawn: it never starts under this number unless
+    /// an earlier order is still under way; in that case it is stopped first.
     pub(crate) fn retract(&mut self, incarnation: &Incarnation, task: TaskId, run: u32, now: u64) {
         let Some(worker) = self.workers.get_mut(incarnation) else {
             return;
