--- a/crates/base/src/clock.rs
+++ b/crates/base/src/clock.rs
@@ -1,4 +1,4 @@
-//! A hybrid logical clock: wall time that never runs against cause and effect.
+//! A hybrid logical clock: wall time that respects causal order.
 
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::time::{SystemTime, UNIX_EPOCH};
@@ -6,7 +6,7 @@
 use derive_more::Display;
 use serde::{Deserialize, Serialize};
 
-/// Bits of a stamp that count events within one millisecond.
+/// The bits of a stamp that count events within one millisecond.
 const COUNT_BITS: u32 = 16;
 
 /// A point in causal order; of two related events the later has the larger stamp.
@@ -28,35 +28,35 @@
 pub struct Stamp(pub u64);
 
 impl Stamp {
-    /// The wall time part in milliseconds since 1970.
+    /// The wall time in milliseconds since 1970.
     pub fn millis(self) -> u64 {
         self.0 >> COUNT_BITS
     }
 }
 
-/// The clock of one process.
+/// The hybrid logical clock of one process.
 #[derive(Debug, Default)]
 pub struct Clock {
     last: AtomicU64,
 }
 
 impl Clock {
-    /// Stamps an event of this process, or a message that leaves it.
+    /// Returns the stamp of an event in this process or of an outgoing message.
     pub fn tick(&self) -> Stamp {
         let wall = wall_millis() << COUNT_BITS;
-        let step = |last: u64| Some(wall.max(last + 1));
-        let last = self.last.fetch_update(Ordering::AcqRel, Ordering::Acquire, step);
+        let next = |last: u64| Some(wall.max(last + 1));
+        let last = self.last.fetch_update(Ordering::AcqRel, Ordering::Acquire, next);
         Stamp(wall.max(last.unwrap_or_default() + 1))
     }
 
-    /// Takes in the stamp of a message that arrived.
-    pub fn merge(&self, seen: Stamp) {
-        self.last.fetch_max(seen.0, Ordering::AcqRel);
+    /// Advances the clock to the stamp of a received message.
+    pub fn merge(&self, stamp: Stamp) {
+        self.last.fetch_max(stamp.0, Ordering::AcqRel);
     }
 }
 
 /// Wall time in milliseconds since 1970.
 fn wall_millis() -> u64 {
-    let since = SystemTime::now().duration_since(UNIX_EPOCH);
-    since.map(|d| d.as_millis() as u64).unwrap_or_default()
+    let elapsed = SystemTime::now().duration_since(UNIX_EPOCH);
+    elapsed.map(|d| d.as_millis() as u64).unwrap_or_default()
 }
--- a/crates/base/src/event.rs
+++ b/crates/base/src/event.rs
@@ -1,4 +1,4 @@
-//! Events of the time line, kept in a bounded ring per process.
+//! Events of the timeline, kept in a bounded ring buffer per process.
 
 use std::collections::VecDeque;
 use std::sync::Mutex;
@@ -7,19 +7,19 @@
 
 use crate::{Clock, Stamp};
 
-/// Events kept per process; older ones are dropped.
-const KEPT: usize = 4096;
+/// The number of events kept per process; older ones are dropped.
+const CAPACITY: usize = 4096;
 
-/// Something that happened, in words for operators.
+/// An event, described for operators.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Event {
-    /// Its place in causal order.
+    /// The event's position in causal order.
     pub stamp: Stamp,
-    /// The process it happened in.
+    /// The name of the process.
     pub host: String,
     /// The part of the process: gate, lease, log, task, config.
     pub part: String,
-    /// A short sentence.
+    /// A short description.
     pub text: String,
 }
 
@@ -42,20 +42,20 @@
         &self.clock
     }
 
-    /// Adds an event that happens now.
+    /// Adds an event with the current stamp.
     pub fn add(&self, part: &str, text: impl Into<String>) {
         let stamp = self.clock.tick();
         let event = Event { stamp, host: self.host.clone(), part: part.into(), text: text.into() };
-        let mut events = self.events.lock().expect("no holder panics");
-        if events.len() == KEPT {
+        let mut events = self.events.lock().expect("no thread panics while holding the lock");
+        if events.len() == CAPACITY {
             events.pop_front();
         }
         events.push_back(event);
     }
 
-    /// The kept events after `since`, oldest first.
+    /// The stored events after `since`, oldest first.
     pub fn since(&self, since: Stamp) -> Vec<Event> {
-        let events = self.events.lock().expect("no holder panics");
+        let events = self.events.lock().expect("no thread panics while holding the lock");
         events.iter().filter(|e| e.stamp > since).cloned().collect()
     }
 }
--- a/crates/base/src/lib.rs
+++ b/crates/base/src/lib.rs
@@ -1,27 +1,26 @@
-//! Words shared by every part: kinds of error, time, room, ownership hashing and events.
+//! Basic types of all crates: error kinds, time, room, rendezvous hashing, events and detection of silent connections.
 
 mod clock;
-mod doubt;
 mod event;
 mod kind;
-mod pick;
+mod rendezvous;
 mod room;
+mod silence;
 mod span;
 
 pub use clock::{Clock, Stamp};
-pub use doubt::Doubt;
 pub use event::{Event, Ring};
 pub use kind::{Kind, Ran};
-pub use pick::{rank, winner};
+pub use rendezvous::{rank, winner};
 pub use room::Room;
+pub use silence::Doubt;
 pub use span::Millis;
 
-/// How long a lease lasts after the log read that it rests on.
+/// The duration of a lease from the log read that it is based on.
 ///
-/// Source: the demo kills a worker and must see its tasks again within 15 s.
+/// The demo kills a worker and requires that its tasks restart within 15 s.
 pub const LEASE: Millis = Millis(8_000);
 
-/// The wait beyond a lease that covers clock drift between a worker and the log.
-///
-/// Two seconds in eight is far above any drift a synchronised clock shows.
+/// The margin added to a lease for clock drift between a worker and the log; 2 s in 8 s is far above the drift of
+/// a synchronised clock.
 pub const GUARD: Millis = Millis(2_000);
--- a/crates/base/src/room.rs
+++ b/crates/base/src/room.rs
@@ -1,9 +1,9 @@
-//! What a worker has and what a task takes.
+//! The resources of a worker and the needs of a task.
 
 use derive_more::{Add, AddAssign, Display};
 use serde::{Deserialize, Serialize};
 
-/// Processors, memory and accelerators.
+/// An amount of processors, memory and accelerators.
 #[derive(
     Debug,
     Default,
@@ -29,17 +29,17 @@
 }
 
 impl Room {
-    /// Room of the given cores, megabytes and accelerators.
+    /// An amount of cores, megabytes of memory and accelerators.
     pub fn new(cores: f64, mem: u32, accel: u32) -> Self {
         Self { cpu: (cores * 1000.0).round() as u32, mem, accel }
     }
 
-    /// Whether this much fits into `free` in every dimension.
+    /// Whether this amount fits into `free` in every dimension.
     pub fn fits(&self, free: &Room) -> bool {
         self.cpu <= free.cpu && self.mem <= free.mem && self.accel <= free.accel
     }
 
-    /// What is left after taking `other` away, never below zero.
+    /// The difference to `other`, at least 0 in every dimension.
     pub fn less(&self, other: &Room) -> Room {
         Room {
             cpu: self.cpu.saturating_sub(other.cpu),
@@ -48,7 +48,7 @@
         }
     }
 
-    /// The larger of both in every dimension.
+    /// The maximum in every dimension.
     pub fn max(&self, other: &Room) -> Room {
         Room {
             cpu: self.cpu.max(other.cpu),
@@ -57,9 +57,11 @@
         }
     }
 
-    /// The share of `whole` that this takes in its fullest dimension, 0.0 to 1.0 and above.
+    /// The largest ratio to `whole` of any dimension, above 1.0 if this amount doesn't fit.
     pub fn share(&self, whole: &Room) -> f64 {
-        let part = |a: u32, b: u32| if b == 0 { 0.0 } else { f64::from(a) / f64::from(b) };
-        part(self.cpu, whole.cpu).max(part(self.mem, whole.mem)).max(part(self.accel, whole.accel))
+        let ratio = |a: u32, b: u32| if b == 0 { 0.0 } else { f64::from(a) / f64::from(b) };
+        ratio(self.cpu, whole.cpu)
+            .max(ratio(self.mem, whole.mem))
+            .max(ratio(self.accel, whole.accel))
     }
 }
--- /dev/null
+++ b/crates/base/src/silence.rs
@@ -0,0 +1,158 @@
+//! Detection of silent connections among the pooled ones to an address.
+//!
+//! Fault: a connection stops delivering data without a reset, while new ones work. A call that waits far longer
+//! than usual makes every connection suspect that last received data before the call began; an answer on a
+//! newer connection shows that the network and the peer work, so the suspect ones are silent.
+
+use std::collections::BTreeMap;
+use std::time::{Duration, Instant};
+
+/// The lower bound of the patience, the wait after which a call is overdue; many times a usual answer time of 5 ms.
+const MIN_PATIENCE: Duration = Duration::from_millis(140);
+
+/// The upper bound of the patience; longer than the platform's store lets a call wait.
+const MAX_PATIENCE: Duration = Duration::from_millis(2_500);
+
+/// The ratio of the patience to the slowest late answer, so that a slow peer, whose answers are all late, doesn't
+/// cause new connections.
+const PATIENCE_RATIO: u32 = 4;
+
+/// The decay of the patience per late answer.
+const DECAY: f64 = 0.97;
+
+/// Finds silent connections to an address from the times of calls and answers.
+#[derive(Debug)]
+pub struct Doubt {
+    patience: Duration,
+    waiting: BTreeMap<u64, Call>,
+    next: u64,
+    suspect_before: Option<Instant>,
+    quick_suspect_before: Option<Instant>,
+    unanswered: Option<Unanswered>,
+}
+
+/// Consecutive calls on pooled connections that were cancelled without an answer between them, each before it was
+/// overdue.
+///
+/// A client's remaining time may be shorter than the patience, and calls of 100 ms would use a silent connection
+/// forever.
+#[derive(Debug)]
+struct Unanswered {
+    /// When the first call began.
+    began: Instant,
+    /// When the last call was cancelled.
+    last_end: Instant,
+    /// The time in which at least one call was waiting past its requested wait.
+    waited: Duration,
+    /// Whether a healthy peer would answer all the calls quickly.
+    quick: bool,
+}
+
+impl Unanswered {
+    fn add(previous: Option<Self>, call: &Call, now: Instant) -> Self {
+        let due = call.began + call.wait;
+        let Some(previous) = previous else {
+            let waited = now.saturating_duration_since(due);
+            return Self { began: call.began, last_end: now, waited, quick: call.quick };
+        };
+        let waited = previous.waited + now.saturating_duration_since(due.max(previous.last_end));
+        Self { last_end: now, waited, quick: previous.quick && call.quick, ..previous }
+    }
+}
+
+/// A call without an answer yet.
+#[derive(Debug)]
+struct Call {
+    began: Instant,
+    wait: Duration,
+    quick: bool,
+    kept: bool,
+}
+
+impl Call {
+    fn overdue(&self, patience: Duration, now: Instant) -> bool {
+        self.kept && now >= self.began + self.wait + patience
+    }
+}
+
+impl Default for Doubt {
+    fn default() -> Self {
+        Self::new()
+    }
+}
+
+impl Doubt {
+    /// A detector without calls.
+    pub fn new() -> Self {
+        Self {
+            patience: MIN_PATIENCE,
+            waiting: BTreeMap::new(),
+            next: 0,
+            suspect_before: None,
+            quick_suspect_before: None,
+            unanswered: None,
+        }
+    }
+
+    /// Adds a call whose peer was asked to delay its answer by `wait`; returns the call's number.
+    ///
+    /// Only calls on pooled connections (`kept`) make connections suspect, as on a new one the peer is slow.
+    pub fn sent(&mut self, wait: Duration, quick: bool, kept: bool, now: Instant) -> u64 {
+        self.next += 1;
+        self.waiting.insert(self.next, Call { began: now, wait, quick, kept });
+        self.next
+    }
+
+    /// Removes an answered call; connections that last received data before the returned instant are silent.
+    ///
+    /// Only overdue calls that a healthy peer answers quickly prove this.
+    pub fn answered(&mut self, number: u64, opened: Instant, now: Instant) -> Option<Instant> {
+        let call = self.waiting.remove(&number)?;
+        self.unanswered = None;
+        let took = (now - call.began).saturating_sub(call.wait);
+        if !took.is_zero() {
+            let decayed = self.patience.mul_f64(DECAY);
+            self.patience = (took * PATIENCE_RATIO).max(decayed).clamp(MIN_PATIENCE, MAX_PATIENCE);
+        }
+        let quick = self.waiting.values().filter(|w| w.quick && w.overdue(self.patience, now));
+        let silent = quick.map(|w| w.began).chain(self.quick_suspect_before).max()?;
+        if silent >= opened {
+            return None;
+        }
+        self.quick_suspect_before = None;
+        Some(silent)
+    }
+
+    /// Removes a call that was cancelled without an answer.
+    pub fn given_up(&mut self, number: u64, now: Instant) {
+        let Some(call) = self.waiting.remove(&number) else {
+            return;
+        };
+        if call.overdue(self.patience, now) {
+            self.unanswered = None;
+            return self.suspect(call.began, call.quick);
+        }
+        if !call.kept {
+            return;
+        }
+        let unanswered = Unanswered::add(self.unanswered.take(), &call, now);
+        if unanswered.waited >= self.patience {
+            return self.suspect(unanswered.began, unanswered.quick);
+        }
+        self.unanswered = Some(unanswered);
+    }
+
+    /// Makes connections suspect that last received data before an instant.
+    fn suspect(&mut self, last_data: Instant, quick: bool) {
+        self.suspect_before = self.suspect_before.max(Some(last_data));
+        if quick {
+            self.quick_suspect_before = self.quick_suspect_before.max(Some(last_data));
+        }
+    }
+
+    /// Connections that last received data before the returned instant are suspect and must not be used any more.
+    pub fn before(&self, now: Instant) -> Option<Instant> {
+        let waiting = self.waiting.values().filter(|w| w.overdue(self.patience, now));
+        waiting.map(|w| w.began).chain(self.suspect_before).max()
+    }
+}
--- a/crates/base/src/span.rs
+++ b/crates/base/src/span.rs
@@ -28,12 +28,12 @@
 pub struct Millis(pub u64);
 
 impl Millis {
-    /// The difference to an earlier point, zero if that point is later.
+    /// The time since an earlier point, zero if that point is later.
     pub fn since(self, earlier: Millis) -> Millis {
         Millis(self.0.saturating_sub(earlier.0))
     }
 
-    /// The same length as the standard library writes it.
+    /// The same length as a [`std::time::Duration`].
     pub fn std(self) -> std::time::Duration {
         std::time::Duration::from_millis(self.0)
     }
--- a/crates/base/tests/errors.rs
+++ b/crates/base/tests/errors.rs
@@ -1,10 +1,10 @@
-//! The page on errors says what the code does.
+//! The page on errors matches the code.
 
 use std::collections::BTreeSet;
 
 use myrtle_base::Kind;
 
-/// The page's table, as the code would write it.
+/// The page's table, generated from the code.
 fn table() -> String {
     let mut table = String::from("| kind | status | run | what to do |\n|---|---|---|---|\n");
     for kind in Kind::ALL {
@@ -15,7 +15,7 @@
 }
 
 #[test]
-fn the_page_holds_the_table() {
+fn the_page_contains_the_table() {
     let page = include_str!("../../../docs/ERRORS.md");
     let table = table();
     assert!(page.contains(&table), "put this table into docs/ERRORS.md:\n{table}");
--- a/crates/cell/src/deny.rs
+++ b/crates/cell/src/deny.rs
@@ -1,48 +1,48 @@
-//! Why the fold turns a command down.
+//! Reasons for the rejection of a command.
 
 use derive_more::Display;
 use serde::{Deserialize, Serialize};
 
-/// Why a command changed nothing.
+/// Why the fold rejected a command.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, Display, Serialize, Deserialize)]
 pub enum Deny {
-    /// It landed after its own deadline.
+    /// The batch reached the log after its deadline.
     #[display("it landed after its deadline")]
     Expired,
-    /// The same batch was folded before.
+    /// The batch was applied before.
     #[display("the batch was folded before")]
     Repeated,
-    /// The hosts are already named.
+    /// The voters are already set.
     #[display("the hosts are already named")]
-    Named,
-    /// No such worker, job, task, gate or unit.
+    VotersSet,
+    /// There is no such worker, job, task, gate or resource.
     #[display("there is no such thing")]
     Missing,
-    /// It is about an earlier life, version or attempt.
+    /// The command is about an earlier incarnation, version or attempt.
     #[display("it is about an earlier life, version or attempt")]
     Old,
-    /// The task is not in a state that allows it.
+    /// The current state doesn't permit the command.
     #[display("the task's state does not allow it")]
     State,
-    /// The task waits after a failure.
+    /// The task is in backoff after a failure.
     #[display("the task waits after a failure")]
     Backoff,
-    /// The worker has no room for it.
+    /// The worker has too little free room.
     #[display("the worker has no room")]
     Room,
-    /// The worker or gate is suspected, lapsed or gone.
+    /// The worker or gate is suspected or lapsed.
     #[display("the holder is not up")]
     Down,
-    /// The worker is set aside after failures.
+    /// The worker is draining, or in backoff after failures.
     #[display("the worker is set aside")]
-    Aside,
-    /// Another gate keeps the unit.
+    Unavailable,
+    /// Another gate coordinates the resource.
     #[display("another gate keeps the unit")]
-    Kept,
+    Assigned,
     /// Leases may still be running.
     #[display("leases may still be running")]
     Early,
-    /// No majority of the hosts promised.
+    /// Fewer than a majority of the voters promised.
     #[display("no majority of the hosts promised")]
     Minority,
 }
--- a/crates/cell/src/fold.rs
+++ b/crates/cell/src/fold.rs
@@ -1,19 +1,18 @@
-//! Folds records in the order of the log.
+//! Applies records to the state in log order.
 
 use myrtle_base::{GUARD, LEASE, Millis};
 
 use crate::{Batch, Cell, Deny, Health, Op, Snapshot, Subject};
 
-/// How long a writer's last number is remembered, in log time.
-///
-/// Longer than any batch's deadline lies ahead, so a repeated batch is always recognised.
-const WRITER_KEPT: Millis = Millis(10 * 60 * 1000);
+/// How long a writer's last sequence number is remembered, in log time: longer than until any batch expires, so that
+/// a repeated batch is always recognised.
+const WRITER_RETENTION: Millis = Millis(10 * 60 * 1000);
 
-/// What the fold said to each command of a batch.
+/// The verdict on each command of a batch.
 pub type Verdicts = Vec<Result<(), Deny>>;
 
 impl Cell {
-    /// Folds the batch at `offset`, which the log took in at `time`.
+    /// Applies the batch at `offset`, which the log received at `time`.
     pub fn fold(&mut self, offset: u64, time: Millis, batch: &Batch) -> Verdicts {
         if offset < self.next {
             return vec![Err(Deny::Repeated); batch.ops.len()];
@@ -26,16 +25,16 @@
         batch.ops.iter().map(|op| self.apply(offset, op)).collect()
     }
 
-    /// Passes over a record that holds no commands.
+    /// Skips a record without commands; `time` is when the log received it.
     pub fn pass(&mut self, offset: u64, time: Millis) {
         self.next = self.next.max(offset + 1);
         self.now = self.now.max(time);
         let now = self.now;
-        self.writers.retain(|_, w| now.since(w.1) < WRITER_KEPT);
+        self.writers.retain(|_, w| now.since(w.1) < WRITER_RETENTION);
         self.forget_jobs();
     }
 
-    /// Takes in a snapshot, unless it is older than this state.
+    /// Replaces the state by a newer snapshot; false if `snapshot` is not newer.
     pub fn adopt(&mut self, snapshot: Snapshot) -> bool {
         let newer = snapshot.cell.next > self.next;
         if newer {
@@ -44,7 +43,7 @@
         newer
     }
 
-    /// Whether a batch of this writer was folded, so that a lost answer can be found again.
+    /// Whether a batch of this writer was applied, by which a writer recovers from a lost answer.
     pub fn folded(&self, writer: u64, seq: u64) -> bool {
         self.writers.get(&writer).is_some_and(|w| w.0 >= seq)
     }
@@ -58,10 +57,10 @@
 
     fn apply(&mut self, offset: u64, op: &Op) -> Result<(), Deny> {
         match op {
-            Op::Genesis { hosts } => self.name_hosts(hosts),
-            Op::Worker { name, rack, room, boot } => self.enter_worker(name, rack, room, *boot),
-            Op::Drain { worker, on } => self.drain(*worker, *on),
-            Op::Job { name, version, spec } => self.enter_job(name, *version, spec),
+            Op::Genesis { hosts } => self.set_voters(hosts),
+            Op::Worker { name, rack, room, boot } => self.add_worker(name, rack, room, *boot),
+            Op::Drain { worker, on } => self.set_draining(*worker, *on),
+            Op::Job { name, version, spec } => self.add_job(name, *version, spec),
             Op::Remove { name, version } => self.remove_job(name, *version),
             Op::Cancel { jobs } => self.cancel_all(jobs),
             Op::Claim { task, attempt, worker } => self.claim(*task, *attempt, *worker),
@@ -71,35 +70,35 @@
             Op::End { task, attempt, end } => self.end(*task, *attempt, *end),
             Op::Resize { job, room } => self.resize_job(*job, room),
             Op::Release { task } => self.release(*task),
-            Op::Gate { name, boot } => self.enter_gate(name, *boot),
-            Op::Leave { gate, boot } => self.leave(gate, *boot),
-            Op::Keep { unit, gate } => self.keep(unit, gate),
-            Op::Hand { unit, from, to } => self.hand(unit, from, to),
+            Op::Gate { name, boot } => self.add_gate(name, *boot),
+            Op::Leave { gate, boot } => self.leave_gate(gate, *boot),
+            Op::Keep { unit, gate } => self.assign_unit(unit, gate),
+            Op::Hand { unit, from, to } => self.reassign_unit(unit, from, to),
             Op::Suspect { subject } => self.suspect(offset, subject),
             Op::Clear { subject } => self.clear(subject),
             Op::Lapse { subject, suspected, consents } => self.lapse(subject, *suspected, consents),
             Op::Used { gate, boot, party, class, requests, busy } => {
-                self.count(gate, *boot, (party, class), *requests, *busy)
+                self.count_usage(gate, *boot, (party, class), *requests, *busy)
             }
         }
     }
 
-    fn name_hosts(&mut self, hosts: &[String]) -> Result<(), Deny> {
+    fn set_voters(&mut self, hosts: &[String]) -> Result<(), Deny> {
         if !self.voters.is_empty() {
-            return Err(Deny::Named);
+            return Err(Deny::VotersSet);
         }
         self.voters = hosts.iter().cloned().collect();
         Ok(())
     }
 
     fn cancel_all(&mut self, jobs: &[u32]) -> Result<(), Deny> {
-        let mut found = Err(Deny::Missing);
+        let mut verdict = Err(Deny::Missing);
         for no in jobs {
             if self.cancel_job(*no).is_ok() {
-                found = Ok(());
+                verdict = Ok(());
             }
         }
-        found
+        verdict
     }
 
     fn suspect(&mut self, offset: u64, subject: &Subject) -> Result<(), Deny> {
@@ -121,24 +120,29 @@
         Ok(())
     }
 
-    fn lapse(&mut self, subject: &Subject, at: u64, consents: &[String]) -> Result<(), Deny> {
+    fn lapse(
+        &mut self,
+        subject: &Subject,
+        suspected: u64,
+        consents: &[String],
+    ) -> Result<(), Deny> {
         let now = self.now;
-        let enough = self.majority(consents);
+        let has_majority = self.majority(consents);
         let health = self.health_mut(subject).ok_or(Deny::Missing)?;
         let Health::Suspect { offset, since } = *health else { return Err(Deny::State) };
-        if offset != at {
+        if offset != suspected {
             return Err(Deny::Old);
         }
         if now.since(since) < LEASE + GUARD {
             return Err(Deny::Early);
         }
-        if !enough {
+        if !has_majority {
             return Err(Deny::Minority);
         }
         *health = Health::Lapsed;
         match subject {
             Subject::Worker(no) => self.free_worker(*no, false),
-            // Its last lease ended a guard ago at the latest.
+            // Its last lease ended at least one guard time ago.
             Subject::Gate(name) => self.free_units(name, now - GUARD),
         }
         Ok(())
--- a/crates/cell/src/job.rs
+++ b/crates/cell/src/job.rs
@@ -1,4 +1,4 @@
-//! Jobs: entered, rejected, cancelled, forgotten.
+//! Commands on jobs, and their removal after the end.
 
 use derive_more::Display;
 use serde::{Deserialize, Serialize};
@@ -8,70 +8,70 @@
 
 use crate::{Cell, Deny, Job, Over, State, Task, TaskId, Why};
 
-/// How long a closed job can still be asked about, in log time.
-const KEPT: Millis = Millis(10 * 60 * 1000);
+/// How long a closed job stays in the state, in log time.
+const RETENTION: Millis = Millis(10 * 60 * 1000);
 
-/// What a job asks for.
+/// The specification of a job.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Spec {
-    /// The party that pays.
+    /// The customer that pays.
     pub party: String,
     /// The priority class.
     pub class: String,
-    /// The price of the class; dearer tasks go first.
+    /// The price of the class; tasks with a higher price go first.
     pub price: u32,
-    /// The kind under which interference is learned.
+    /// The kind of work; interference is learned for each kind.
     pub kind: String,
     /// The number of tasks.
     pub tasks: u32,
-    /// The room of a task.
+    /// The room that one task needs.
     pub room: Room,
-    /// The expected run time, none for a watcher.
+    /// The expected run time; none for a long-running job.
     pub run_time: Option<Millis>,
-    /// What happens in a cut.
+    /// What happens to a task whose worker is unreachable.
     pub when_cut: WhenCut,
-    /// Failures of a task before it stops for good.
+    /// The number of failed attempts at which a task fails.
     pub failures: u16,
 }
 
 impl Spec {
-    /// Whether its tasks run until they are cancelled.
+    /// Whether the tasks are long-running.
     pub fn watcher(&self) -> bool {
         self.run_time.is_none()
     }
 }
 
-/// What became of a job.
+/// The state of a job.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, Display, Serialize, Deserialize)]
 pub enum JobState {
     /// It has tasks to run.
     #[display("open")]
     Open,
-    /// No worker could ever hold a task of it.
+    /// No worker is large enough for its tasks; holds the needed room and the largest worker's.
     #[display("rejected: a task needs {_0}, the largest worker has {_1}")]
     Rejected(Room, Room),
-    /// It was cancelled; the same definition does not run again.
+    /// It was cancelled; the same definition doesn't run again.
     #[display("cancelled")]
     Cancelled,
-    /// The configuration no longer holds it.
+    /// It was removed from the configuration.
     #[display("removed")]
     Removed,
 }
 
 impl Cell {
-    /// Enters a job; one that can never run is rejected at once.
-    pub(crate) fn enter_job(&mut self, name: &str, version: u64, spec: &Spec) -> Result<(), Deny> {
-        if let Some((old, job)) = self.job_named(name) {
+    /// Adds a job, which is rejected if no worker is large enough for its tasks.
+    pub(crate) fn add_job(&mut self, name: &str, version: u64, spec: &Spec) -> Result<(), Deny> {
+        if let Some((previous, job)) = self.job_named(name) {
             if job.version >= version {
                 return Err(Deny::Old);
             }
             if job.state == JobState::Open {
-                self.close_job(old, JobState::Removed)?;
+                self.close_job(previous, JobState::Removed)?;
             }
         }
         let no = self.next_job;
         self.next_job += 1;
-        let state = self.judge_job(spec);
+        let state = self.initial_state(spec);
         let open = if state == JobState::Open { spec.tasks } else { 0 };
         let closed = (open == 0).then_some(self.now);
         for index in 0..open {
@@ -87,7 +87,7 @@
         Ok(())
     }
 
-    /// Ends a job that the configuration no longer holds, unless it is newer than that.
+    /// Ends a job that was removed from the configuration, unless its version is newer than the removal.
     pub(crate) fn remove_job(&mut self, name: &str, version: u64) -> Result<(), Deny> {
         let (no, job) = self.job_named(name).ok_or(Deny::Missing)?;
         if job.version >= version {
@@ -96,52 +96,52 @@
         self.close_job(no, JobState::Removed)
     }
 
-    /// Ends a job on an operator's word.
+    /// Ends a job on an operator's request.
     pub(crate) fn cancel_job(&mut self, no: u32) -> Result<(), Deny> {
         self.close_job(no, JobState::Cancelled)
     }
 
-    /// Ends a job: its pending tasks now, the others after their confirmed stop.
+    /// Ends a job: its pending tasks at once, the others when their stop is confirmed.
     fn close_job(&mut self, no: u32, state: JobState) -> Result<(), Deny> {
         let job = self.jobs.get_mut(&no).ok_or(Deny::Missing)?;
         if job.state != JobState::Open {
             return Err(Deny::State);
         }
         job.state = state;
-        let ids: Vec<_> = self.ids_of(no).collect();
+        let ids: Vec<_> = self.task_ids(no).collect();
         for id in ids {
             self.cancel_task(id);
         }
         Ok(())
     }
 
-    /// Corrects the room of later attempts; never below what was declared.
+    /// Raises the room of later attempts.
     pub(crate) fn resize_job(&mut self, no: u32, room: &Room) -> Result<(), Deny> {
         let largest = self.largest();
         let job = self.jobs.get_mut(&no).ok_or(Deny::Missing)?;
-        let wanted = job.room.max(room);
-        if wanted == job.room || !wanted.fits(&largest) {
+        let raised = job.room.max(room);
+        if raised == job.room || !raised.fits(&largest) {
             return Err(Deny::State);
         }
-        job.room = wanted;
+        job.room = raised;
         Ok(())
     }
 
-    /// Drops jobs that closed long ago, with their tasks.
+    /// Removes jobs that closed more than [`RETENTION`] ago, with their tasks.
     pub(crate) fn forget_jobs(&mut self) {
         let now = self.now;
-        let old = |j: &Job| j.closed.is_some_and(|at| now.since(at) > KEPT);
-        let gone: Vec<u32> = self.jobs.iter().filter(|j| old(j.1)).map(|j| *j.0).collect();
-        for no in gone {
+        let is_old = |j: &Job| j.closed.is_some_and(|at| now.since(at) > RETENTION);
+        let expired: Vec<u32> = self.jobs.iter().filter(|j| is_old(j.1)).map(|j| *j.0).collect();
+        for no in expired {
             self.jobs.remove(&no);
-            let ids: Vec<_> = self.ids_of(no).collect();
+            let ids: Vec<_> = self.task_ids(no).collect();
             for id in ids {
                 self.tasks.remove(&id);
             }
         }
     }
 
-    /// Counts a task that is over.
+    /// Counts a finished task and closes its job after the last one.
     pub(crate) fn close_task(&mut self, id: TaskId, over: Over) {
         let now = self.now;
         let Some(job) = self.jobs.get_mut(&id.job) else { return };
@@ -152,10 +152,10 @@
         }
     }
 
-    fn judge_job(&self, spec: &Spec) -> JobState {
+    fn initial_state(&self, spec: &Spec) -> JobState {
         let largest = self.largest();
-        let known = !self.workers.is_empty();
-        if known && !self.workers.iter().any(|w| spec.room.fits(&w.room)) {
+        let any_worker = !self.workers.is_empty();
+        if any_worker && !self.workers.iter().any(|w| spec.room.fits(&w.room)) {
             return JobState::Rejected(spec.room, largest);
         }
         JobState::Open
@@ -168,7 +168,7 @@
             State::Pending => {
                 task.state = State::Over(Over::Cancelled);
                 task.since = now;
-                self.unqueue(id);
+                self.dequeue(id);
                 self.close_task(id, Over::Cancelled);
             }
             State::Claimed(worker) | State::Running(worker) | State::Stopping(worker, _) => {
--- a/crates/cell/src/lease.rs
+++ b/crates/cell/src/lease.rs
@@ -1,10 +1,9 @@
-//! Leases: until when a subject may act, by its own clock.
+//! Leases: the times until which workers and gates may act, by their own clocks.
 //!
-//! A host grants a lease on a log read that shows no suspicion. The end is counted from the
-//! subject's own clock, which the subject reported before the grant, less the age of the read.
-//! However long the host or a message is held up, the lease ends within [`LEASE`] of the read. A
-//! suspicion that the read did not show is younger than the read, so [`LEASE`] and [`GUARD`]
-//! after it no such lease runs any more.
+//! A host grants a lease after a log read that shows no suspicion. The lease ends at the time that the holder's clock
+//! showed in its last message plus [`LEASE`] minus the age of the read, so it ends within [`LEASE`] of the read
+//! however long the host or a message is delayed. A suspicion that the read didn't show is newer than the read, so
+//! [`LEASE`] plus [`GUARD`] after the suspicion no such lease runs any more.
 //!
 //! [`GUARD`]: myrtle_base::GUARD
 
@@ -12,26 +11,25 @@
 
 use myrtle_base::{LEASE, Millis};
 
-/// When the log was last known to hold nothing beyond the fold, by the reader's clock.
+/// A log read that confirmed the fold as up to date.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 pub struct Read {
-    /// When the read was sent.
+    /// When the read was sent, by the reader's clock.
     pub sent: Millis,
 }
 
-/// A lease for a subject, in the subject's own clock.
+/// A lease of a worker or gate.
 #[derive(
     Debug, Default, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
 pub struct Grant {
-    /// The subject's clock at which the lease ends.
+    /// When the lease ends, by the holder's clock.
     pub until: Millis,
 }
 
 impl Read {
-    /// The lease for a subject whose clock showed `stamp` in a message that arrived at `arrived`.
-    ///
-    /// `arrived` is by the reader's clock. Returns nothing if the read is too old for a lease.
+    /// The lease of a holder whose clock showed `stamp` in a message that arrived at `arrived` by the reader's
+    /// clock; none if the read is too old.
     pub fn grant(&self, stamp: Millis, arrived: Millis) -> Option<Grant> {
         let age = arrived.since(self.sent);
         (age < LEASE).then(|| Grant { until: stamp + LEASE - age })
--- a/crates/cell/src/lib.rs
+++ b/crates/cell/src/lib.rs
@@ -1,7 +1,7 @@
-//! The fold of a cell's stream: commands in, state and verdicts out, no clock and no I/O.
+//! The fold of a cell's stream: commands in, state and verdicts out, without a clock or I/O.
 //!
-//! Every host that folds the same prefix holds the same state. A host that knows too little can
-//! only propose what the fold turns down.
+//! Every host that folds the same prefix has the same state, and the fold rejects commands that a host proposed on
+//! an outdated state.
 
 mod deny;
 mod fold;
--- a/crates/cell/src/op.rs
+++ b/crates/cell/src/op.rs
@@ -7,7 +7,7 @@
 
 use crate::Spec;
 
-/// A task: the number of its job and its index in the job.
+/// The id of a task.
 #[derive(
     Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Display, Serialize, Deserialize,
 )]
@@ -15,7 +15,7 @@
 pub struct TaskId {
     /// The job's number in the cell.
     pub job: u32,
-    /// The index from 0.
+    /// The task's index in the job, from 0.
     pub index: u32,
 }
 
@@ -26,7 +26,7 @@
     }
 }
 
-/// What holds a lease.
+/// The holder of a lease.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Hash, Display, Serialize, Deserialize)]
 pub enum Subject {
     /// A worker, by its number.
@@ -37,33 +37,33 @@
     Gate(String),
 }
 
-/// What exactly one gate of the data centre keeps at a time.
+/// A resource that exactly one gate of the data centre coordinates at a time.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Hash, Display, Serialize, Deserialize)]
 pub enum Unit {
     /// The slots and connections of an upstream.
     #[display("upstream {_0}")]
     Upstream(String),
-    /// The rate of a party in this data centre.
+    /// The rate limit of a customer in this data centre.
     #[display("party {_0}")]
     Party(String),
-    /// One bucket of idempotency keys.
+    /// A bucket of idempotency keys.
     #[display("keys {_0}")]
     Keys(u16),
 }
 
-/// Why a task is stopped.
+/// The reason for stopping an attempt.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, Display, Serialize, Deserialize)]
 pub enum Why {
     /// Its job was cancelled.
     #[display("cancelled")]
     Cancel,
-    /// It disturbs a service beyond its target.
+    /// It slows a service beyond its target latency.
     #[display("disturbs a service")]
     Interference,
     /// Its worker is running out of room.
     #[display("worker runs out of room")]
     Pressure,
-    /// Dearer work needs its room.
+    /// A task with a higher price needs its room.
     #[display("room for dearer work")]
     Dearer,
     /// An operator asked for it.
@@ -74,78 +74,78 @@
 /// How an attempt ended on its worker.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub enum End {
-    /// It did all its work.
+    /// It succeeded.
     Done,
     /// It failed.
     Failed,
-    /// It was stopped, or its lease lapsed, after this checkpoint.
+    /// It was stopped or its lease lapsed; holds its last checkpoint.
     Stopped(u32),
 }
 
-/// One command; the fold accepts it or turns it down.
+/// A command, which the fold accepts or rejects.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub enum Op {
-    /// Names the hosts whose majority may give up a subject; only the first one counts.
+    /// Sets the voters, a majority of which may declare a worker or gate lapsed; only the first one counts.
     Genesis {
         /// The hosts' names.
         hosts: Vec<String>,
     },
-    /// Enters a worker, or its next life.
+    /// Adds a worker or its next incarnation.
     Worker {
         /// Its name.
         name: String,
         /// Its rack.
         rack: String,
-        /// What it has.
+        /// Its total room.
         room: Room,
-        /// Its life, larger after each restart.
+        /// Its incarnation, larger after each restart.
         boot: u64,
     },
-    /// Says whether a worker is leaving; a leaving one gets nothing new.
+    /// Sets whether a worker is draining and gets no new tasks.
     Drain {
         /// The worker's number.
         worker: u32,
-        /// Whether it is leaving.
+        /// Whether it is draining.
         on: bool,
     },
-    /// Enters a job, or a new version of it.
+    /// Adds a job or a new version of it.
     Job {
         /// Its name.
         name: String,
-        /// The version of the configuration that it comes from.
+        /// The version of the configuration that defined it.
         version: u64,
-        /// What it asks for.
+        /// Its specification.
         spec: Spec,
     },
-    /// Ends a job that the configuration no longer holds.
+    /// Ends a job that was removed from the configuration.
     Remove {
         /// Its name.
         name: String,
-        /// The version of the configuration that no longer holds it.
+        /// The version of the configuration that removed it.
         version: u64,
     },
-    /// Ends jobs: pending tasks at once, others when their worker confirms the stop.
+    /// Cancels jobs: pending tasks at once, the others when their stop is confirmed.
     Cancel {
         /// The jobs' numbers.
         jobs: Vec<u32>,
     },
-    /// Gives a pending task to a worker.
+    /// Assigns a pending task to a worker.
     Claim {
         /// The task.
         task: TaskId,
-        /// The attempt, one above the last.
+        /// The attempt's number, one above the previous.
         attempt: u16,
         /// The worker's number.
         worker: u32,
     },
-    /// The worker runs the attempt.
+    /// Confirms that the worker runs the attempt.
     Started {
         /// The task.
         task: TaskId,
         /// The attempt.
         attempt: u16,
     },
-    /// The worker confirmed a checkpoint.
+    /// Records a confirmed checkpoint.
     Mark {
         /// The task.
         task: TaskId,
@@ -154,7 +154,7 @@
         /// The checkpoint's number.
         checkpoint: u32,
     },
-    /// Decides that an attempt is to stop.
+    /// Requests the stop of an attempt.
     Stop {
         /// The task.
         task: TaskId,
@@ -163,7 +163,7 @@
         /// The reason.
         why: Why,
     },
-    /// The worker confirmed that an attempt is over.
+    /// Confirms the end of an attempt.
     End {
         /// The task.
         task: TaskId,
@@ -172,80 +172,80 @@
         /// How it ended.
         end: End,
     },
-    /// Corrects the room of a job's later attempts upwards to what was measured.
+    /// Raises the room of a job's later attempts to its actual use.
     Resize {
         /// The job's number.
         job: u32,
-        /// The measured room.
+        /// The used room.
         room: Room,
     },
-    /// An operator's word that a task whose worker lapsed runs nowhere.
+    /// Frees a task of a lapsed worker, as an operator confirmed that it runs nowhere.
     Release {
         /// The task.
         task: TaskId,
     },
-    /// Enters a gate, or its next life.
+    /// Adds a gate or its next incarnation.
     Gate {
         /// Its name.
         name: String,
-        /// Its life, larger after each restart.
+        /// Its incarnation, larger after each restart.
         boot: u64,
     },
-    /// A gate stops as planned and keeps nothing any more.
+    /// Marks a gate as stopped; it coordinates nothing any more.
     Leave {
         /// The gate.
         gate: String,
-        /// The life that leaves.
+        /// The incarnation that stops.
         boot: u64,
     },
-    /// Makes a gate the keeper of a free unit.
+    /// Makes a gate the coordinator of a free resource.
     Keep {
-        /// The unit.
+        /// The resource.
         unit: Unit,
         /// The gate.
         gate: String,
     },
-    /// A keeper hands a unit on, together with what it knows of it.
+    /// Moves a resource with its state from its coordinator to another gate.
     Hand {
-        /// The unit.
+        /// The resource.
         unit: Unit,
-        /// The keeper.
+        /// The current coordinator.
         from: String,
-        /// The next keeper.
+        /// The next coordinator.
         to: String,
     },
-    /// A host no longer reaches a subject.
+    /// Suspects a worker or gate that a host can't reach.
     Suspect {
-        /// The subject.
+        /// The worker or gate.
         subject: Subject,
     },
-    /// A host reaches the subject after all.
+    /// Clears a suspicion, as a host reaches the worker or gate again.
     Clear {
-        /// The subject.
+        /// The worker or gate.
         subject: Subject,
     },
-    /// Every lease of a suspected subject has lapsed.
+    /// Declares a suspected worker or gate lapsed.
     Lapse {
-        /// The subject.
+        /// The worker or gate.
         subject: Subject,
-        /// The offset at which it was suspected.
+        /// The offset of the suspicion.
         suspected: u64,
-        /// The hosts that promised not to renew it.
+        /// The hosts that promised to renew no lease of it.
         consents: Vec<String>,
     },
-    /// What a gate has served since its start, by party and class.
+    /// Reports a gate's usage by a customer in a class, counted since the start of the gate's incarnation.
     Used {
         /// The gate.
         gate: String,
-        /// Its life.
+        /// Its incarnation.
         boot: u64,
-        /// The party.
+        /// The customer.
         party: String,
         /// The class.
         class: String,
-        /// Requests answered by an upstream, since the start of this life.
+        /// The number of requests answered by an upstream.
         requests: u64,
-        /// Time in slots, since the start of this life.
+        /// The time in slots of upstreams.
         busy: Millis,
     },
 }
--- a/crates/cell/src/query.rs
+++ b/crates/cell/src/query.rs
@@ -1,4 +1,4 @@
-//! Questions to the state; nothing here changes it.
+//! Queries on the state of a cell.
 
 use std::collections::BTreeSet;
 
@@ -8,18 +8,18 @@
 
 use crate::{Cell, Health, Job, State, Subject, Task, TaskId, Worker};
 
-/// How many tasks stand where.
+/// The number of tasks in each state.
 #[derive(Debug, Default, Clone, Copy, PartialEq, Eq, Serialize)]
 pub struct Totals {
-    /// Waiting for a worker.
+    /// Tasks that wait for a worker.
     pub pending: usize,
-    /// Claimed, not confirmed.
+    /// Tasks that are claimed, without a confirmed start.
     pub claimed: usize,
-    /// Running.
+    /// Tasks that run.
     pub running: usize,
-    /// Stopping, not confirmed.
+    /// Tasks that are stopping, without a confirmed end.
     pub stopping: usize,
-    /// Over.
+    /// Tasks that are over.
     pub over: usize,
 }
 
@@ -35,23 +35,23 @@
     }
 
     /// The ids of a job's tasks.
-    pub fn ids_of(&self, job: u32) -> impl Iterator<Item = TaskId> + '_ {
+    pub fn task_ids(&self, job: u32) -> impl Iterator<Item = TaskId> + '_ {
         let range = TaskId::new(job, 0)..=TaskId::new(job, u32::MAX);
         self.tasks.range(range).map(|t| *t.0)
     }
 
-    /// The tasks that a worker was given.
+    /// The tasks that are assigned to a worker.
     pub fn tasks_on(&self, worker: u32) -> impl Iterator<Item = (TaskId, &Task, &Job)> + '_ {
         let ids = self.workers.get(worker as usize).into_iter().flat_map(|w| w.tasks.iter());
         ids.map(|id| (*id, &self.tasks[id], &self.jobs[&id.job]))
     }
 
-    /// The pending tasks, the dearest first.
+    /// The pending tasks by falling price.
     pub fn waiting(&self) -> impl Iterator<Item = (TaskId, &Task, &Job)> + '_ {
         self.pending.iter().map(|(_, id)| (*id, &self.tasks[id], &self.jobs[&id.job]))
     }
 
-    /// Whether a subject's leases may be renewed; nothing if it is not known.
+    /// The health of a worker or gate; none if it is unknown.
     pub fn health(&self, subject: &Subject) -> Option<Health> {
         match subject {
             Subject::Worker(no) => self.workers.get(*no as usize).map(|w| w.health),
@@ -59,7 +59,7 @@
         }
     }
 
-    /// The subjects that are suspected, with the offset of the suspicion.
+    /// The suspected workers and gates with the offset of the suspicion.
     pub fn suspects(&self) -> impl Iterator<Item = (Subject, u64)> + '_ {
         let offset = |h: &Health| match h {
             Health::Suspect { offset, .. } => Some(*offset),
@@ -75,18 +75,18 @@
         workers.chain(gates)
     }
 
-    /// Whether these hosts are a majority of the cell's.
+    /// Whether these hosts include a majority of the cell's voters.
     pub fn majority(&self, hosts: &[String]) -> bool {
         let distinct: BTreeSet<_> = hosts.iter().filter(|h| self.voters.contains(*h)).collect();
         distinct.len() * 2 > self.voters.len()
     }
 
-    /// The largest room of any worker, in each dimension.
+    /// The maximum room of the workers in each dimension.
     pub fn largest(&self) -> Room {
         self.workers.iter().fold(Room::default(), |max, w: &Worker| max.max(&w.room))
     }
 
-    /// How many tasks stand where.
+    /// The number of tasks in each state.
     pub fn totals(&self) -> Totals {
         let mut totals = Totals::default();
         for task in self.tasks.values() {
--- a/crates/cell/src/state.rs
+++ b/crates/cell/src/state.rs
@@ -1,4 +1,4 @@
-//! The state that a cell's stream folds to.
+//! The state of a cell.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -8,20 +8,20 @@
 
 use crate::{JobState, Spec, State, TaskId, Unit};
 
-/// Whether a subject's leases may be renewed.
+/// Whether the leases of a worker or gate may be renewed.
 #[derive(Debug, Default, Clone, Copy, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub enum Health {
-    /// Its leases are renewed.
+    /// Its leases may be renewed.
     #[default]
     Up,
-    /// A host lost it; nobody whose fold shows this renews.
+    /// A host can't reach it; a host whose fold holds this renews no lease of it.
     Suspect {
         /// The offset of the suspicion.
         offset: u64,
         /// The log time of the suspicion.
         since: Millis,
     },
-    /// Its leases have lapsed; what it held is free.
+    /// Its leases have lapsed; its tasks or resources are free.
     Lapsed,
 }
 
@@ -32,21 +32,21 @@
     pub name: String,
     /// Its rack.
     pub rack: String,
-    /// What it has.
+    /// Its total room.
     pub room: Room,
-    /// What its attempts were given.
+    /// The room of its attempts.
     pub used: Room,
-    /// Its life.
+    /// Its incarnation.
     pub boot: u64,
     /// Whether its leases may be renewed.
     pub health: Health,
-    /// Whether it is leaving.
+    /// Whether it is draining and gets no new tasks.
     pub leaving: bool,
-    /// Failures in a row, by job.
+    /// The jobs of its latest consecutive failures.
     pub failures: Vec<u32>,
-    /// Set aside until this log time; one probe runs after it.
+    /// The end of its backoff in log time, after which one probe task runs.
     pub aside: Option<Millis>,
-    /// The attempts it was given.
+    /// The tasks assigned to it.
     pub tasks: BTreeSet<TaskId>,
 }
 
@@ -55,28 +55,28 @@
 pub struct Job {
     /// Its name.
     pub name: String,
-    /// The version of the configuration that it comes from.
+    /// The version of the configuration that defined it.
     pub version: u64,
-    /// What it asks for.
+    /// Its specification.
     pub spec: Spec,
-    /// The room of its next attempts, at least the declared one.
+    /// The room of its next attempts, at least that of the specification.
     pub room: Room,
-    /// What became of it.
+    /// Its state.
     pub state: JobState,
-    /// Tasks that are not over.
+    /// The number of tasks that are not over.
     pub open: u32,
-    /// Tasks that did all their work.
+    /// The number of tasks that succeeded.
     pub done: u32,
-    /// The first workers that failed a task of it, at most two.
+    /// The first workers, at most two, on which one of its tasks failed.
     pub failed_on: Vec<u32>,
-    /// The log time at which its last task was over.
+    /// The log time of the end of its last task.
     pub closed: Option<Millis>,
 }
 
 impl Job {
-    /// The one worker that failed it, as long as no other one did.
+    /// The only worker on which its tasks failed, if there is exactly one.
     ///
-    /// Either the worker or the job is at fault; the next attempt elsewhere tells which.
+    /// Either the worker or the job is at fault; the next attempt on another worker shows which.
     pub fn doubtful(&self) -> Option<u32> {
         match self.failed_on[..] {
             [only] => Some(only),
@@ -88,56 +88,56 @@
 /// A task.
 #[derive(Debug, Default, Clone, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Task {
-    /// Where it stands.
+    /// Its state.
     pub state: State,
-    /// The newest attempt, 0 before the first.
+    /// The number of the newest attempt, 0 before the first.
     pub attempt: u16,
-    /// Failed attempts.
+    /// The number of failed attempts.
     pub failures: u16,
-    /// Attempts that were stopped to make room.
+    /// The number of evicted attempts.
     pub evictions: u16,
     /// The newest confirmed checkpoint.
     pub checkpoint: u32,
-    /// Not claimed before this log time.
+    /// The log time before which it can't be claimed.
     pub wait: Millis,
-    /// The worker that failed it last.
+    /// The worker of its last failed attempt.
     pub avoid: Option<u32>,
     /// The log time of its last change of state.
     pub since: Millis,
-    /// What its attempt was given.
+    /// The room of its current attempt.
     pub given: Room,
 }
 
 /// A gate.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Gate {
-    /// Its life.
+    /// Its incarnation.
     pub boot: u64,
-    /// Whether its lease may be renewed.
+    /// Whether its leases may be renewed.
     pub health: Health,
-    /// The counters of this life that were added to the usage, by party and class.
+    /// The usage of this incarnation that is already added to the totals, by customer and class.
     pub counted: BTreeMap<(String, String), Usage>,
 }
 
-/// Who keeps a unit.
+/// The coordinator of a resource.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Keep {
     /// The gate.
     pub gate: String,
-    /// The log time after which no earlier keeper acted on the unit; 0 if there was none.
+    /// The log time after which no earlier coordinator used the resource; 0 if there was none.
     pub since: Millis,
-    /// Grows with each change of the keeper.
+    /// Increases with each change of the coordinator.
     pub term: u64,
-    /// Whether it came from an earlier keeper whose loans may still run.
+    /// Whether an earlier coordinator passed it on, whose allocations may still be in use.
     pub handed: bool,
 }
 
-/// What was used and is paid for.
+/// Billed usage.
 #[derive(Debug, Default, Clone, Copy, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Usage {
-    /// Requests that an upstream answered.
+    /// The number of requests that an upstream answered.
     pub requests: u64,
-    /// Time in slots of upstreams, or in rooms of workers.
+    /// The time in slots of upstreams or on workers.
     pub busy: Millis,
 }
 
@@ -148,27 +148,27 @@
     pub next: u64,
     /// The log time of the last record.
     pub now: Millis,
-    /// The hosts whose majority may give up a subject.
+    /// The hosts a majority of which may declare a worker or gate lapsed.
     pub voters: BTreeSet<String>,
-    /// The workers by number.
+    /// The workers, indexed by number.
     pub workers: Vec<Worker>,
     /// The jobs by number.
     pub jobs: BTreeMap<u32, Job>,
-    /// The tasks of jobs that are not forgotten.
+    /// The tasks of these jobs.
     pub tasks: BTreeMap<TaskId, Task>,
-    /// The pending tasks, the dearest first.
+    /// The pending tasks, ordered by falling price.
     pub pending: BTreeSet<(u32, TaskId)>,
     /// The gates by name.
     pub gates: BTreeMap<String, Gate>,
-    /// The keepers of units.
+    /// The coordinators of resources.
     pub units: BTreeMap<Unit, Keep>,
-    /// When units that nobody keeps were surely no longer used by their last keeper.
+    /// The log time after which the last coordinator of a free resource no longer used it.
     pub freed: BTreeMap<Unit, Millis>,
-    /// Usage by party and class.
+    /// The usage by customer and class.
     pub usage: BTreeMap<(String, String), Usage>,
     pub(crate) next_job: u32,
     pub(crate) next_term: u64,
     pub(crate) writers: BTreeMap<u64, (u64, Millis)>,
-    /// How often workers restarted soon after they had begun a task.
+    /// How often a worker restarted soon after it had started a task.
     pub(crate) crashes: BTreeMap<TaskId, u16>,
 }
--- a/crates/cell/src/task.rs
+++ b/crates/cell/src/task.rs
@@ -1,4 +1,4 @@
-//! Tasks: claimed, started, stopped, ended; one attempt at a time.
+//! Commands on tasks, each of which has one attempt at a time.
 
 use derive_more::Display;
 use serde::{Deserialize, Serialize};
@@ -8,26 +8,26 @@
 
 use crate::{Cell, Deny, End, Health, JobState, TaskId, Why};
 
-/// The wait after the first failure; it doubles with each further one.
-const BACKOFF: Millis = Millis(500);
+/// The backoff after the first failure; it doubles with each further one.
+const MIN_BACKOFF: Millis = Millis(500);
 
-/// The longest wait after a failure.
+/// The longest backoff.
 const MAX_BACKOFF: Millis = Millis(60_000);
 
-/// Where a task stands.
+/// The state of a task.
 #[derive(Debug, Default, Clone, Copy, PartialEq, Eq, Hash, Display, Serialize, Deserialize)]
 pub enum State {
     /// It waits for a worker.
     #[default]
     #[display("pending")]
     Pending,
-    /// A worker was chosen and has not confirmed the start.
+    /// It is assigned to a worker that hasn't confirmed the start.
     #[display("claimed by worker {_0}")]
     Claimed(u32),
     /// The worker runs it.
     #[display("running on worker {_0}")]
     Running(u32),
-    /// The worker is to stop it and has not confirmed.
+    /// The worker has to stop it and hasn't confirmed the end.
     #[display("stopping on worker {_0}: {_1}")]
     Stopping(u32, Why),
     /// It is over.
@@ -35,16 +35,16 @@
     Over(Over),
 }
 
-/// How a task is over for good.
+/// The final result of a task.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, Display, Serialize, Deserialize)]
 pub enum Over {
-    /// It did all its work.
+    /// It succeeded.
     #[display("done")]
     Done,
     /// Its job was cancelled.
     #[display("cancelled")]
     Cancelled,
-    /// It failed too often.
+    /// Too many attempts failed or crashed their workers.
     #[display("failed too often")]
     Failed,
 }
@@ -60,7 +60,7 @@
 }
 
 impl Cell {
-    /// Gives a pending task to a worker that has room for it.
+    /// Assigns a pending task to a worker with enough free room.
     pub(crate) fn claim(&mut self, id: TaskId, attempt: u16, worker: u32) -> Result<(), Deny> {
         let job = self.jobs.get(&id.job).ok_or(Deny::Missing)?;
         let task = self.tasks.get_mut(&id).ok_or(Deny::Missing)?;
@@ -73,27 +73,27 @@
         if self.now < task.wait {
             return Err(Deny::Backoff);
         }
-        let host = self.workers.get_mut(worker as usize).ok_or(Deny::Missing)?;
-        if host.health != Health::Up {
+        let holder = self.workers.get_mut(worker as usize).ok_or(Deny::Missing)?;
+        if holder.health != Health::Up {
             return Err(Deny::Down);
         }
-        if !host.takes(self.now) {
-            return Err(Deny::Aside);
+        if !holder.takes(self.now) {
+            return Err(Deny::Unavailable);
         }
-        if !job.room.fits(&host.free()) {
+        if !job.room.fits(&holder.free()) {
             return Err(Deny::Room);
         }
-        host.used += job.room;
-        host.tasks.insert(id);
+        holder.used += job.room;
+        holder.tasks.insert(id);
         task.given = job.room;
         task.attempt = attempt;
         task.state = State::Claimed(worker);
         task.since = self.now;
-        self.unqueue(id);
+        self.dequeue(id);
         Ok(())
     }
 
-    /// Notes that the worker runs the attempt.
+    /// Records that the worker runs the attempt.
     pub(crate) fn started(&mut self, id: TaskId, attempt: u16) -> Result<(), Deny> {
         let now = self.now;
         let task = self.tasks.get_mut(&id).ok_or(Deny::Missing)?;
@@ -106,7 +106,7 @@
         Ok(())
     }
 
-    /// Keeps the newest checkpoint of the attempt.
+    /// Records a checkpoint of the attempt.
     pub(crate) fn mark(&mut self, id: TaskId, attempt: u16, checkpoint: u32) -> Result<(), Deny> {
         let task = self.tasks.get_mut(&id).ok_or(Deny::Missing)?;
         if attempt != task.attempt || checkpoint <= task.checkpoint {
@@ -119,7 +119,7 @@
         Ok(())
     }
 
-    /// Decides that an attempt is to stop.
+    /// Requests the stop of an attempt.
     pub(crate) fn stop(&mut self, id: TaskId, attempt: u16, why: Why) -> Result<(), Deny> {
         let now = self.now;
         let task = self.tasks.get_mut(&id).ok_or(Deny::Missing)?;
@@ -134,7 +134,7 @@
         Ok(())
     }
 
-    /// Takes the worker's word that an attempt is over.
+    /// Records the end of an attempt that the worker confirmed.
     pub(crate) fn end(&mut self, id: TaskId, attempt: u16, end: End) -> Result<(), Deny> {
         let task = self.tasks.get(&id).ok_or(Deny::Missing)?;
         if attempt != task.attempt {
@@ -142,14 +142,14 @@
         }
         let state = task.state;
         let worker = state.worker().ok_or(Deny::State)?;
-        self.leave_worker(id, worker, true);
+        self.release_room(id, worker, true);
         match end {
             End::Done => {
-                self.praise(worker);
+                self.record_success(worker);
                 self.finish(id, Over::Done);
             }
             End::Failed => {
-                self.blame(worker, id.job);
+                self.record_failure(worker, id.job);
                 self.fail(id, worker);
             }
             End::Stopped(checkpoint) => self.resume(id, checkpoint, state),
@@ -157,7 +157,7 @@
         Ok(())
     }
 
-    /// An operator's word that a task of a lapsed worker runs nowhere.
+    /// Frees a task of a lapsed worker, as an operator confirmed that it runs nowhere.
     pub(crate) fn release(&mut self, id: TaskId) -> Result<(), Deny> {
         let task = self.tasks.get(&id).ok_or(Deny::Missing)?;
         let state = task.state;
@@ -166,14 +166,13 @@
             return Err(Deny::State);
         }
         let checkpoint = task.checkpoint;
-        self.leave_worker(id, worker, false);
+        self.release_room(id, worker, false);
         self.resume(id, checkpoint, state);
         Ok(())
     }
 
-    /// Frees the attempts of a worker that can no longer be running them.
-    ///
-    /// With `all` false, tasks that go on in a cut stay where they are.
+    /// Frees the tasks of a worker that can no longer be running them; with `all` false, those that continue while
+    /// their worker is unreachable stay assigned.
     pub(crate) fn free_worker(&mut self, worker: u32, all: bool) {
         let ids: Vec<_> = self.workers[worker as usize].tasks.iter().copied().collect();
         for id in ids {
@@ -182,23 +181,23 @@
                 continue;
             }
             let (state, checkpoint) = (self.tasks[&id].state, self.tasks[&id].checkpoint);
-            self.leave_worker(id, worker, false);
+            self.release_room(id, worker, false);
             self.resume(id, checkpoint, state);
         }
     }
 
-    /// Takes a task out of the pending queue.
-    pub(crate) fn unqueue(&mut self, id: TaskId) {
+    /// Removes a task from the pending queue.
+    pub(crate) fn dequeue(&mut self, id: TaskId) {
         let price = self.jobs[&id.job].spec.price;
         self.pending.remove(&(u32::MAX - price, id));
     }
 
-    /// Gives back the room of an attempt and counts its use.
-    fn leave_worker(&mut self, id: TaskId, worker: u32, counted: bool) {
+    /// Frees the room of an attempt and, with `counted`, adds its run time to the usage.
+    fn release_room(&mut self, id: TaskId, worker: u32, counted: bool) {
         let task = &self.tasks[&id];
-        let host = &mut self.workers[worker as usize];
-        host.used = host.used.less(&task.given);
-        host.tasks.remove(&id);
+        let holder = &mut self.workers[worker as usize];
+        holder.used = holder.used.less(&task.given);
+        holder.tasks.remove(&id);
         if !counted || matches!(task.state, State::Claimed(_)) {
             return;
         }
@@ -207,26 +206,26 @@
         entry.busy += self.now.since(task.since);
     }
 
-    /// Back to pending, or over if the job was cancelled.
-    fn resume(&mut self, id: TaskId, checkpoint: u32, was: State) {
+    /// Returns a task to the pending queue, or ends it if its job is closed.
+    fn resume(&mut self, id: TaskId, checkpoint: u32, previous: State) {
         if self.jobs[&id.job].state != JobState::Open {
             return self.finish(id, Over::Cancelled);
         }
         let now = self.now;
-        let task = self.tasks.get_mut(&id).expect("callers looked it up");
+        let task = self.tasks.get_mut(&id).expect("callers checked that the task exists");
         task.checkpoint = task.checkpoint.max(checkpoint);
-        task.evictions += u16::from(matches!(was, State::Stopping(..)));
+        task.evictions += u16::from(matches!(previous, State::Stopping(..)));
         task.wait = now;
-        self.queue(id);
+        self.enqueue(id);
     }
 
-    /// Ends a task for good that has crashed too many workers.
+    /// Fails a task that has crashed too many workers.
     pub(crate) fn give_up(&mut self, id: TaskId, worker: u32) {
-        self.leave_worker(id, worker, false);
+        self.release_room(id, worker, false);
         self.finish(id, Over::Failed);
     }
 
-    /// Back to pending after a wait, or over after too many failures.
+    /// Counts a failure; the task is pending again after its backoff, or over after too many failures.
     fn fail(&mut self, id: TaskId, worker: u32) {
         if let Some(job) = self.jobs.get_mut(&id.job)
             && job.failed_on.len() < 2
@@ -237,24 +236,24 @@
         let limit = self.jobs[&id.job].spec.failures;
         let open = self.jobs[&id.job].state == JobState::Open;
         let now = self.now;
-        let task = self.tasks.get_mut(&id).expect("callers looked it up");
+        let task = self.tasks.get_mut(&id).expect("callers checked that the task exists");
         task.failures += 1;
         task.avoid = Some(worker);
-        let wait = BACKOFF.0 << (task.failures - 1).min(16);
-        task.wait = now + Millis(wait.min(MAX_BACKOFF.0));
+        let backoff_ms = MIN_BACKOFF.0 << (task.failures - 1).min(16);
+        task.wait = now + Millis(backoff_ms.min(MAX_BACKOFF.0));
         if !open {
             return self.finish(id, Over::Cancelled);
         }
         if task.failures >= limit {
             return self.finish(id, Over::Failed);
         }
-        self.queue(id);
+        self.enqueue(id);
     }
 
-    fn queue(&mut self, id: TaskId) {
+    fn enqueue(&mut self, id: TaskId) {
         let now = self.now;
         let price = self.jobs[&id.job].spec.price;
-        let task = self.tasks.get_mut(&id).expect("callers looked it up");
+        let task = self.tasks.get_mut(&id).expect("callers checked that the task exists");
         task.state = State::Pending;
         task.since = now;
         self.pending.insert((u32::MAX - price, id));
@@ -262,7 +261,7 @@
 
     fn finish(&mut self, id: TaskId, over: Over) {
         let now = self.now;
-        let task = self.tasks.get_mut(&id).expect("callers looked it up");
+        let task = self.tasks.get_mut(&id).expect("callers checked that the task exists");
         task.state = State::Over(over);
         task.since = now;
         self.crashes.remove(&id);
--- a/crates/cell/src/worker.rs
+++ b/crates/cell/src/worker.rs
@@ -1,37 +1,37 @@
-//! Workers: entered, blamed for failures, set aside and probed.
+//! Commands on workers, and their backoff after failures, without which a faulty worker fails task after task.
 
 use myrtle_base::{Millis, Room};
 
 use crate::{Cell, Deny, Health, State, Worker};
 
-/// Failures in a row after which a worker is set aside.
-const BLAME: usize = 3;
+/// The number of consecutive failures after which a worker goes into backoff.
+const MAX_FAILURES: usize = 3;
 
-/// How soon after a task has begun its worker's restart counts against it.
-const SOON: Millis = Millis(10_000);
+/// The longest time from a task's start to its worker's restart in which the restart counts as a crash by the task.
+const CRASH_WINDOW: Millis = Millis(10_000);
 
-/// Restarts of workers under a task after which it is given up: uncounted, a task that crashes its workers
-/// is claimed for ever, and all that ran beside it begins anew each time.
-const CRASHES: u16 = 5;
+/// The number of crashes at which a task is given up; without a limit, a task that crashes its workers is claimed
+/// forever, and everything that runs beside it restarts each time.
+const MAX_CRASHES: u16 = 5;
 
-/// How long a worker is set aside before one probe.
-const ASIDE: Millis = Millis(30_000);
+/// The duration of a worker's backoff, after which one probe task runs.
+const WORKER_BACKOFF: Millis = Millis(30_000);
 
 impl Worker {
-    /// What it has left.
+    /// Its free room.
     pub fn free(&self) -> Room {
         self.room.less(&self.used)
     }
 
-    /// Whether it takes a task now: it is not leaving, nor set aside unless for a probe.
+    /// Whether it accepts a task now: it is neither draining nor in backoff, or the task is the probe.
     pub fn takes(&self, now: Millis) -> bool {
         !self.leaving && self.aside.is_none_or(|until| now >= until && self.tasks.is_empty())
     }
 }
 
 impl Cell {
-    /// Enters a worker, its next life, or its return after a lapse.
-    pub(crate) fn enter_worker(
+    /// Adds a worker, its next incarnation, or its return after a lapse.
+    pub(crate) fn add_worker(
         &mut self,
         name: &str,
         rack: &str,
@@ -39,22 +39,22 @@
         boot: u64,
     ) -> Result<(), Deny> {
         let Some(no) = self.worker_named(name) else {
-            self.workers.push(fresh(name, rack, room, boot));
+            self.workers.push(new_worker(name, rack, room, boot));
             return Ok(());
         };
         let worker = &mut self.workers[no as usize];
         if boot < worker.boot {
             return Err(Deny::Old);
         }
-        let same = boot == worker.boot;
-        if same && worker.health == Health::Up && worker.room == *room {
+        let same_boot = boot == worker.boot;
+        if same_boot && worker.health == Health::Up && worker.room == *room {
             return Err(Deny::State);
         }
         worker.health = Health::Up;
         worker.boot = boot;
         worker.rack = rack.into();
-        if !same {
-            // A worker that restarted runs nothing of its earlier life.
+        if !same_boot {
+            // A restarted worker runs nothing of its earlier incarnation.
             worker.failures.clear();
             worker.aside = None;
             self.count_crash(no);
@@ -64,7 +64,7 @@
         Ok(())
     }
 
-    /// Counts a worker's restart against the tasks that it ran; those that may have caused too many are over.
+    /// Counts a worker's restart as a crash by the tasks that it had just started; gives up those with too many.
     fn count_crash(&mut self, no: u32) {
         let worker = &self.workers[no as usize];
         if worker.leaving {
@@ -75,20 +75,20 @@
             if !matches!(task.state, State::Running(_)) {
                 continue;
             }
-            if self.now.since(task.since) >= SOON {
+            if self.now.since(task.since) >= CRASH_WINDOW {
                 self.crashes.remove(&id);
                 continue;
             }
             let crashes = self.crashes.entry(id).or_default();
             *crashes += 1;
-            if *crashes >= CRASHES {
+            if *crashes >= MAX_CRASHES {
                 self.give_up(id, no);
             }
         }
     }
 
-    /// Says whether a worker is leaving.
-    pub(crate) fn drain(&mut self, no: u32, on: bool) -> Result<(), Deny> {
+    /// Sets whether a worker is draining.
+    pub(crate) fn set_draining(&mut self, no: u32, on: bool) -> Result<(), Deny> {
         let worker = self.workers.get_mut(no as usize).ok_or(Deny::Missing)?;
         if worker.leaving == on {
             return Err(Deny::State);
@@ -97,30 +97,30 @@
         Ok(())
     }
 
-    /// A task ended well: the worker is fine.
-    pub(crate) fn praise(&mut self, no: u32) {
+    /// Ends a worker's backoff and clears its failures, as a task succeeded.
+    pub(crate) fn record_success(&mut self, no: u32) {
         let worker = &mut self.workers[no as usize];
         worker.failures.clear();
         worker.aside = None;
     }
 
-    /// A task failed: after a few in a row that the jobs cannot explain, set the worker aside.
-    pub(crate) fn blame(&mut self, no: u32, job: u32) {
-        let runs_elsewhere = self.jobs.get(&job).is_some_and(|j| j.done > 0);
+    /// Counts a failure; [`MAX_FAILURES`] in a row that no faulty job explains put the worker into backoff.
+    pub(crate) fn record_failure(&mut self, no: u32, job: u32) {
+        let job_succeeds = self.jobs.get(&job).is_some_and(|j| j.done > 0);
         let worker = &mut self.workers[no as usize];
         worker.failures.push(job);
-        if worker.failures.len() < BLAME {
+        if worker.failures.len() < MAX_FAILURES {
             return;
         }
-        let several = worker.failures.iter().any(|j| *j != job);
-        if several || runs_elsewhere {
-            worker.aside = Some(self.now + ASIDE);
+        let several_jobs = worker.failures.iter().any(|j| *j != job);
+        if several_jobs || job_succeeds {
+            worker.aside = Some(self.now + WORKER_BACKOFF);
         }
         worker.failures.remove(0);
     }
 }
 
-fn fresh(name: &str, rack: &str, room: &Room, boot: u64) -> Worker {
+fn new_worker(name: &str, rack: &str, room: &Room, boot: u64) -> Worker {
     Worker {
         name: name.into(),
         rack: rack.into(),
--- a/crates/cell/tests/common/mod.rs
+++ b/crates/cell/tests/common/mod.rs
@@ -1,4 +1,4 @@
-//! A small log for tests of the fold.
+//! An in-memory log for tests of the fold.
 
 #![allow(dead_code)]
 
@@ -6,7 +6,7 @@
 use myrtle_cell::{Batch, Cell, Deny, End, Op, Record, Snapshot, Spec, Subject, TaskId, Verdicts};
 use myrtle_config::WhenCut;
 
-/// A cell with the end of its stream.
+/// A cell and the end of its stream.
 #[derive(Debug, Default)]
 pub struct Log {
     pub cell: Cell,
@@ -16,7 +16,7 @@
 }
 
 impl Log {
-    /// Three hosts and some workers of 32 cores.
+    /// A log with three hosts and `count` workers of 32 cores.
     pub fn with_workers(count: u64) -> Self {
         let mut log = Self::default();
         let hosts = ["s1", "s2", "s3"].map(String::from).to_vec();
@@ -27,14 +27,14 @@
         log
     }
 
-    /// A batch that is not appended yet.
+    /// A new batch, not appended yet.
     pub fn batch(&mut self, ops: Vec<Op>) -> Batch {
         self.seq += 1;
         let expires = self.time + Millis(20_000);
         Batch { writer: 1, seq: self.seq, expires, stamp: Stamp(0), ops }
     }
 
-    /// Appends a batch, by way of its bytes.
+    /// Encodes, decodes and appends a batch.
     pub fn append(&mut self, batch: &Batch) -> Verdicts {
         let bytes = Record::Batch(batch.clone()).encode();
         let Some(Record::Batch(batch)) = Record::decode(&bytes) else { panic!("not a batch") };
@@ -49,20 +49,20 @@
         self.append(&batch)[0]
     }
 
-    /// Appends a command that must be accepted.
+    /// Appends a command and asserts that it is accepted.
     pub fn ok(&mut self, op: Op) {
         let text = format!("{op:?}");
         assert_eq!(self.one(op), Ok(()), "{text}");
     }
 
-    /// Lets time pass.
+    /// Advances the log time.
     pub fn pass(&mut self, time: Millis) {
         self.time += time;
         self.offset += 1;
         self.cell.pass(self.offset - 1, self.time);
     }
 
-    /// A snapshot as a reader gets it.
+    /// A snapshot after encoding and decoding.
     pub fn snapshot(&self) -> Snapshot {
         let record = Record::Snapshot(Box::new(Snapshot { cell: self.cell.clone() }));
         match Record::decode(&record.encode()) {
@@ -110,7 +110,7 @@
     log.offset - 1
 }
 
-/// Suspects a worker and gives it up.
+/// Suspects a worker and declares it lapsed.
 pub fn lapse_worker(log: &mut Log, no: u32) {
     let suspected = suspect_worker(log, no);
     log.pass(LEASE + GUARD);
--- a/crates/cell/tests/explore.rs
+++ b/crates/cell/tests/explore.rs
@@ -1,4 +1,6 @@
-//! Explores small cases of the hard case: a host cut off from the log that still reaches a worker.
+//! Searches a small model for duplicate runs and overcommitted workers.
+//!
+//! Fault: a host without access to the log still reaches a worker.
 
 mod common;
 mod model;
@@ -13,34 +15,35 @@
 /// The same with both hosts appending, for walks.
 const RACE: Bounds = Bounds { tasks: 1, cut: false, messages: 2, steps: 8, records: 9, states: 0 };
 
-/// The same with a second task that waits.
+/// The same with a second, pending task.
 const PAIR: Bounds = Bounds { tasks: 2, ..RACE };
 
-/// A host that never appends, and little time.
+/// A host that can't append, and little time.
 const CUT: Bounds = Bounds { cut: true, steps: 4, records: 4, ..RACE };
 
-/// Two tasks of which a worker holds one.
+/// Two tasks, of which a worker has room for one.
 const ROOM: Bounds =
     Bounds { tasks: 2, cut: false, messages: 2, steps: 0, records: 3, states: 700_000 };
 
-/// Walks, and steps in each.
+/// The number of random walks.
 const WALKS: usize = 40_000;
+/// The number of steps in each walk.
 const LENGTH: usize = 120;
 
-fn show(name: &str, found: &Found) {
-    println!("{name}: {} states, all of them: {}", found.states, found.all);
-    if let Some(steps) = &found.broken {
-        println!("  broken by {} steps: {}", steps.len(), steps.join(", "));
+fn report(name: &str, found: &Found) {
+    println!("{name}: {} states, complete: {}", found.states, found.complete);
+    if let Some(steps) = &found.violation {
+        println!("  violated after {} steps: {}", steps.len(), steps.join(", "));
     }
 }
 
 #[rstest]
-#[case::a_task_that_is_moved(MOVE)]
-#[case::the_last_room(ROOM)]
-fn no_promise_is_broken_in_any_small_case(#[case] bounds: Bounds) {
+#[case::one_task(MOVE)]
+#[case::room_for_one(ROOM)]
+fn no_state_of_a_small_case_is_a_violation(#[case] bounds: Bounds) {
     let found = explore(Without::Nothing, bounds, &[]);
-    show("everything in place", &found);
-    assert_eq!(found.broken, None);
+    report("all checks", &found);
+    assert_eq!(found.violation, None);
     assert!(found.states > 1_000);
 }
 
@@ -50,10 +53,10 @@
 #[case::two_tasks(PAIR, 3)]
 #[case::cut_off(CUT, 4)]
 #[case::cut_off_again(CUT, 5)]
-fn no_promise_is_broken_on_long_walks(#[case] bounds: Bounds, #[case] seed: u64) {
+fn no_long_walk_finds_a_violation(#[case] bounds: Bounds, #[case] seed: u64) {
     let found = walk(Without::Nothing, bounds, seed, WALKS, LENGTH);
-    show("walks with everything in place", &found);
-    assert_eq!(found.broken, None);
+    report("walks with all checks", &found);
+    assert_eq!(found.violation, None);
 }
 
 #[rstest]
@@ -63,31 +66,38 @@
 #[case::attempt_check(Without::AttemptCheck, PAIR)]
 #[case::room_check(Without::RoomCheck, PAIR)]
 #[case::tombstones(Without::Tombstones, PAIR)]
-fn without_a_check_a_promise_breaks(#[case] without: Without, #[case] bounds: Bounds) {
+fn each_check_is_needed(#[case] without: Without, #[case] bounds: Bounds) {
     let found = walk(without, bounds, 7, WALKS * 8, LENGTH);
-    show(&format!("without {without:?}"), &found);
-    assert!(found.broken.is_some(), "{without:?} does not matter in {} states", found.states);
+    report(&format!("without {without:?}"), &found);
+    assert!(
+        found.violation.is_some(),
+        "no violation without {without:?} in {} states",
+        found.states
+    );
 }
 
-/// Worker 0 is suspected; host 0, which does not know, renews on the word of host 2.
-const DARK: [Action; 9] = [
+/// Worker 0 is suspected; host 0 hasn't read this and renews with a promise of host 2.
+const OFFLINE_RENEWALS: [Action; 9] = [
     Action::Append(1, 0),
     Action::Read(1),
     Action::Pass,
-    Action::Dark(2),
+    Action::RenewOffline(2),
     Action::Arrive(0, 0),
     Action::Pass,
-    Action::Dark(2),
+    Action::RenewOffline(2),
     Action::Arrive(0, 0),
     Action::Pass,
 ];
 
 #[rstest]
-#[case::in_place(Without::Nothing, false)]
-#[case::taken_out(Without::OnePromise, true)]
-fn a_host_gives_one_promise_within_a_lease(#[case] without: Without, #[case] breaks: bool) {
+#[case::all_checks(Without::Nothing, false)]
+#[case::one_check_removed(Without::OnePromise, true)]
+fn a_host_never_makes_both_promises_within_a_lease(
+    #[case] without: Without,
+    #[case] violates: bool,
+) {
     let bounds = Bounds { messages: 1, states: 300_000, ..CUT };
-    let found = explore(without, bounds, &DARK);
-    show(&format!("renewed in the dark, without {without:?}"), &found);
-    assert_eq!(found.broken.is_some(), breaks);
+    let found = explore(without, bounds, &OFFLINE_RENEWALS);
+    report(&format!("renewed offline, without {without:?}"), &found);
+    assert_eq!(found.violation.is_some(), violates);
 }
--- a/crates/cell/tests/fold.rs
+++ b/crates/cell/tests/fold.rs
@@ -1,4 +1,4 @@
-//! The fold turns down whatever would break a promise.
+//! The fold rejects commands that would run a task twice, overcommit a worker or share a resource.
 
 mod common;
 
@@ -11,7 +11,7 @@
 };
 use myrtle_config::WhenCut;
 
-/// Names a case and runs its steps on a log with two workers and three hosts.
+/// Defines a test on a log with two workers and three hosts.
 macro_rules! case {
     ($name:ident, $log:ident => $body:block) => {
         #[test]
@@ -28,7 +28,7 @@
     Op::Claim { task, attempt, worker }
 }
 
-case!(two_hosts_claim_the_last_room, log => {
+case!(concurrent_claims_never_overcommit_a_worker, log => {
     log.ok(job("big", 2, 20.0));
     log.ok(claim(T, 1, 0));
     assert_eq!(log.one(claim(TaskId::new(0, 1), 1, 0)), Err(Deny::Room));
@@ -42,12 +42,12 @@
     assert_eq!(log.one(claim(T, 2, 1)), Err(Deny::State));
 });
 
-case!(an_attempt_is_not_skipped, log => {
+case!(attempt_numbers_have_no_gaps, log => {
     log.ok(job("a", 1, 1.0));
     assert_eq!(log.one(claim(T, 2, 0)), Err(Deny::Old));
 });
 
-case!(a_repeated_batch_does_nothing, log => {
+case!(a_repeated_batch_has_no_effect, log => {
     log.ok(job("a", 1, 1.0));
     let batch = log.batch(vec![claim(T, 1, 0)]);
     assert_eq!(log.append(&batch), vec![Ok(())]);
@@ -55,7 +55,7 @@
     assert_eq!(log.cell.workers[0].used, room(1.0));
 });
 
-case!(a_batch_that_lands_late_does_nothing, log => {
+case!(an_expired_batch_has_no_effect, log => {
     log.ok(job("a", 1, 1.0));
     let batch = log.batch(vec![claim(T, 1, 0)]);
     log.pass(Millis(60_000));
@@ -77,7 +77,7 @@
     assert_eq!((task.checkpoint, task.evictions), (7, 1));
 });
 
-case!(a_job_that_no_worker_holds_is_rejected_with_the_reason, log => {
+case!(a_job_too_large_for_every_worker_is_rejected_with_the_reason, log => {
     log.ok(job("huge", 3, 64.0));
     let state = &log.cell.jobs[&0].state;
     assert!(matches!(state, JobState::Rejected(..)));
@@ -96,14 +96,14 @@
     assert_eq!(log.cell.jobs[&0].open, 0);
 });
 
-case!(a_removal_does_not_touch_a_newer_job, log => {
+case!(a_removal_does_not_end_a_newer_job, log => {
     log.ok(job("a", 1, 1.0));
     assert_eq!(log.one(Op::Remove { name: "a".into(), version: 1 }), Err(Deny::Old));
     log.ok(Op::Remove { name: "a".into(), version: 2 });
     assert_eq!(log.cell.jobs[&0].state, JobState::Removed);
 });
 
-case!(a_failing_task_backs_off_elsewhere_and_then_stops, log => {
+case!(a_failing_task_is_retried_with_backoff_until_it_fails, log => {
     log.ok(job("bad", 1, 1.0));
     for attempt in 1..=5 {
         let worker = u32::from(attempt % 2);
@@ -118,7 +118,7 @@
     assert_eq!(log.cell.tasks[&T].state, State::Over(Over::Failed));
 });
 
-case!(a_worker_that_fails_everything_is_set_aside_and_probed, log => {
+case!(a_failing_worker_goes_into_backoff_and_gets_one_probe, log => {
     for n in 0..4 {
         log.ok(job(&format!("j{n}"), 1, 1.0));
     }
@@ -126,15 +126,15 @@
         log.ok(claim(TaskId::new(n, 0), 1, 0));
         log.ok(end(TaskId::new(n, 0), 1, End::Failed));
     }
-    assert_eq!(log.one(claim(TaskId::new(3, 0), 1, 0)), Err(Deny::Aside));
+    assert_eq!(log.one(claim(TaskId::new(3, 0), 1, 0)), Err(Deny::Unavailable));
     log.pass(Millis(31_000));
     log.ok(claim(TaskId::new(3, 0), 1, 0));
-    assert_eq!(log.one(claim(T, 2, 0)), Err(Deny::Aside));
+    assert_eq!(log.one(claim(T, 2, 0)), Err(Deny::Unavailable));
     log.ok(end(TaskId::new(3, 0), 1, End::Done));
     log.ok(claim(T, 2, 0));
 });
 
-case!(a_job_that_fails_everywhere_sets_no_worker_aside, log => {
+case!(a_failing_job_puts_no_worker_into_backoff, log => {
     log.ok(job("bad", 3, 1.0));
     for n in 0..3 {
         log.ok(claim(TaskId::new(0, n), 1, 0));
@@ -143,13 +143,13 @@
     assert_eq!(log.cell.workers[0].aside, None);
 });
 
-case!(a_silent_worker_keeps_its_tasks_until_all_leases_lapsed, log => {
+case!(a_silent_worker_keeps_its_tasks_until_its_leases_lapse, log => {
     log.ok(job("a", 1, 1.0));
     log.ok(claim(T, 1, 0));
-    let at = suspect_worker(&mut log, 0);
+    let suspected = suspect_worker(&mut log, 0);
     let lapse = |consents: &[&str]| Op::Lapse {
         subject: Subject::Worker(0),
-        suspected: at,
+        suspected,
         consents: consents.iter().map(|c| c.to_string()).collect(),
     };
     assert_eq!(log.one(lapse(&["s1", "s2"])), Err(Deny::Early));
@@ -162,20 +162,20 @@
     assert_eq!(log.one(end(T, 1, End::Done)), Err(Deny::Old));
 });
 
-case!(a_suspicion_that_was_cleared_gives_nothing_up, log => {
+case!(a_cleared_suspicion_allows_no_lapse, log => {
     log.ok(job("a", 1, 1.0));
     log.ok(claim(T, 1, 0));
-    let at = suspect_worker(&mut log, 0);
+    let suspected = suspect_worker(&mut log, 0);
     log.ok(Op::Clear { subject: Subject::Worker(0) });
-    let again = suspect_worker(&mut log, 0);
+    let second = suspect_worker(&mut log, 0);
     log.pass(LEASE + GUARD);
     let consents = vec!["s1".into(), "s2".into()];
-    let lapse = Op::Lapse { subject: Subject::Worker(0), suspected: at, consents };
+    let lapse = Op::Lapse { subject: Subject::Worker(0), suspected, consents };
     assert_eq!(log.one(lapse), Err(Deny::Old));
-    assert_ne!(at, again);
+    assert_ne!(suspected, second);
 });
 
-case!(a_restarted_worker_runs_nothing_of_its_earlier_life, log => {
+case!(a_restarted_worker_has_no_tasks_of_its_earlier_incarnation, log => {
     log.ok(job("a", 1, 1.0));
     log.ok(claim(T, 1, 0));
     log.ok(common::worker(0, 2));
@@ -183,23 +183,23 @@
     assert_eq!(log.one(common::worker(0, 1)), Err(Deny::Old));
 });
 
-case!(a_unit_has_one_keeper, log => {
+case!(a_resource_has_one_coordinator, log => {
     log.ok(Op::Gate { name: "g1".into(), boot: 1 });
     log.ok(Op::Gate { name: "g2".into(), boot: 1 });
-    let keep = |gate: &str| Op::Keep { unit: Unit::Keys(3), gate: gate.into() };
-    log.ok(keep("g1"));
-    assert_eq!(log.one(keep("g2")), Err(Deny::Kept));
-    let hand = |from: &str, to: &str| Op::Hand {
+    let assign = |gate: &str| Op::Keep { unit: Unit::Keys(3), gate: gate.into() };
+    log.ok(assign("g1"));
+    assert_eq!(log.one(assign("g2")), Err(Deny::Assigned));
+    let reassign = |from: &str, to: &str| Op::Hand {
         unit: Unit::Keys(3),
         from: from.into(),
         to: to.into(),
     };
-    assert_eq!(log.one(hand("g2", "g1")), Err(Deny::Kept));
-    log.ok(hand("g1", "g2"));
-    assert_eq!(log.one(hand("g1", "g2")), Err(Deny::Kept));
+    assert_eq!(log.one(reassign("g2", "g1")), Err(Deny::Assigned));
+    log.ok(reassign("g1", "g2"));
+    assert_eq!(log.one(reassign("g1", "g2")), Err(Deny::Assigned));
 });
 
-case!(a_gates_next_life_waits_for_the_earlier_ones_leases, log => {
+case!(a_gates_next_incarnation_waits_for_the_leases_of_the_earlier_one, log => {
     log.ok(Op::Gate { name: "g1".into(), boot: 1 });
     log.ok(Op::Keep { unit: Unit::Keys(3), gate: "g1".into() });
     let next = Op::Gate { name: "g1".into(), boot: 2 };
@@ -228,7 +228,7 @@
 #[rstest]
 #[case::yields(WhenCut::Yield, State::Pending)]
 #[case::continues(WhenCut::Continue, State::Running(0))]
-fn what_a_lapse_does_is_the_tasks_choice(#[case] when_cut: WhenCut, #[case] then: State) {
+fn a_lapse_frees_only_tasks_that_yield(#[case] when_cut: WhenCut, #[case] then: State) {
     let mut log = Log::with_workers(2);
     log.ok(common::job_with("a", 1, 1.0, when_cut));
     log.ok(claim(T, 1, 0));
@@ -242,7 +242,7 @@
     }
 }
 
-case!(a_snapshot_gives_the_same_state_and_never_an_older_one, log => {
+case!(a_snapshot_restores_the_state_unless_it_is_older, log => {
     log.ok(job("a", 2, 1.0));
     let early = log.snapshot();
     log.ok(claim(T, 1, 0));
@@ -255,7 +255,7 @@
     assert_eq!(fresh, log.cell);
 });
 
-case!(a_task_whose_workers_restart_under_it_is_over_in_the_end, log => {
+case!(a_task_that_crashes_its_workers_is_given_up, log => {
     log.ok(job("a", 1, 1.0));
     for attempt in 1..=5 {
         log.ok(claim(T, attempt, 0));
@@ -266,7 +266,7 @@
     assert_eq!(log.one(claim(T, 6, 1)), Err(Deny::State));
 });
 
-case!(a_task_that_ran_for_long_goes_on_however_often_its_workers_restart, log => {
+case!(restarts_long_after_the_start_never_fail_a_task, log => {
     log.ok(job("a", 1, 1.0));
     for attempt in 1..=9 {
         log.ok(claim(T, attempt, 0));
@@ -277,11 +277,11 @@
     assert_eq!(log.cell.tasks[&T].state, State::Pending);
 });
 
-case!(a_snapshot_from_before_restarts_were_counted_is_read, log => {
+case!(a_snapshot_without_crash_counts_is_read, log => {
     log.ok(job("a", 1, 1.0));
     let snapshot = Record::Snapshot(Box::new(Snapshot { cell: log.cell.clone() })).encode();
     let old = &snapshot[..snapshot.len() - 1];
-    let Some(Record::Snapshot(read)) = Record::decode(old) else { panic!("not read") };
+    let Some(Record::Snapshot(read)) = Record::decode(old) else { panic!("the snapshot can't be decoded") };
     assert_eq!(read.cell, log.cell);
     assert!(Record::decode(&old[..old.len() - 3]).is_none());
 });
--- a/crates/cell/tests/model/mod.rs
+++ b/crates/cell/tests/model/mod.rs
@@ -1,8 +1,8 @@
-//! A small model of hosts, workers and messages around the real fold, leases and promises.
+//! A small model of hosts, workers and messages with the real fold, leases and promises.
 //!
-//! Host 0 reaches worker 0 only, host 1 reaches worker 1 only, host 2 holds promises. Hosts read
-//! the log when they like and propose on what they last read. Messages to workers arrive late,
-//! repeatedly or never, and so do lapses at the log.
+//! Host 0 reaches worker 0 only, host 1 reaches worker 1 only, host 2 makes promises only. Hosts read the log at any
+//! time and propose commands on the state that they last read. Messages to workers arrive late, repeatedly or
+//! never, and lapses reach the log late or never.
 
 mod search;
 
@@ -18,64 +18,64 @@
 
 pub use search::{explore, walk};
 
-/// Records that the world starts with.
-const START: u64 = 6;
+/// The number of records in the initial log.
+const INITIAL_RECORDS: u64 = 6;
 
-/// One step of time.
+/// The time of one [`Action::Pass`].
 const STEP: Millis = Millis(4_000);
 
-/// A check that is taken out, to see that it is needed.
+/// The check that is removed, to show that it is needed.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Without {
-    /// Everything is in place.
+    /// All checks are in place.
     Nothing,
-    /// Any attempt is taken for the next one.
+    /// The fold accepts any attempt number.
     AttemptCheck,
-    /// Workers are taken to have room.
+    /// The fold doesn't check a worker's room.
     RoomCheck,
-    /// A lapse does not wait for leases.
+    /// A lapse doesn't wait for the end of the leases.
     LapseWait,
-    /// A lapse needs no promises.
+    /// A lapse needs no promises of hosts.
     Consents,
-    /// A host promises both things within one lease.
+    /// A host makes both promises within one lease.
     OnePromise,
-    /// The age of a read is not taken off a lease.
+    /// The age of a read isn't subtracted from a lease.
     ReadAge,
-    /// A worker forgets which attempts are over.
+    /// A worker doesn't remember which attempts are over.
     Tombstones,
 }
 
-/// What is explored.
+/// The bounds of a search.
 #[derive(Debug, Clone, Copy)]
 pub struct Bounds {
-    /// Tasks, each of more than half of a worker.
+    /// The number of tasks, each of which needs more than half of a worker.
     pub tasks: u32,
-    /// Whether host 0 cannot append.
+    /// Whether host 0 can't append.
     pub cut: bool,
-    /// Messages on their way to a worker.
+    /// The most messages in transit to a worker.
     pub messages: usize,
-    /// Steps of time.
+    /// The most time steps.
     pub steps: u64,
-    /// Records in the log.
+    /// The most records in the log after the initial ones.
     pub records: usize,
-    /// States after which the search ends.
+    /// The number of states after which the search ends.
     pub states: usize,
 }
 
-/// What a search found.
+/// The result of a search.
 #[derive(Debug)]
 pub struct Found {
-    /// States seen.
+    /// The number of states seen.
     pub states: usize,
-    /// Whether there were no more.
-    pub all: bool,
-    /// The steps to a broken promise.
-    pub broken: Option<Vec<String>>,
+    /// Whether these are all reachable states.
+    pub complete: bool,
+    /// The steps to a violation.
+    pub violation: Option<Vec<String>>,
 }
 
 #[derive(Debug, Clone)]
 struct Host {
-    /// The fold of the log up to some offset, shared by all worlds that have it.
+    /// The fold of a log prefix, shared by all worlds with that prefix.
     cell: Rc<Cell>,
     read: Millis,
     promise: Promise,
@@ -83,7 +83,7 @@
 
 impl Hash for Host {
     fn hash<H: Hasher>(&self, hasher: &mut H) {
-        // The log and the offset say what the cell is.
+        // The log and the offset determine the cell.
         (self.cell.next, self.read, &self.promise).hash(hasher);
     }
 }
@@ -106,32 +106,32 @@
 #[derive(Debug, Clone, Hash)]
 struct World {
     now: Millis,
-    /// The records after those of the start.
+    /// The records after the initial ones.
     log: Vec<(Millis, Op)>,
-    /// A lapse that is on its way to the log.
-    late: Option<Op>,
-    /// The newest messages to each worker.
+    /// A lapse in transit to the log.
+    in_transit: Option<Op>,
+    /// The messages in transit to each worker, the newest first.
     messages: [Vec<Message>; 2],
     hosts: Vec<Host>,
     workers: Vec<Worker>,
 }
 
-/// One step of the world.
+/// A step of the model.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Action {
-    /// Time passes.
+    /// Time passes by [`STEP`].
     Pass,
     /// A host reads the log.
     Read(usize),
-    /// A host renews its worker's lease on its newest read.
+    /// A host renews its worker's lease after its newest read.
     Renew(usize),
-    /// Host 0 renews without the log, on its own word and that of another host.
-    Dark(usize),
-    /// A message to a worker arrives, the newest or the one before.
+    /// Host 0 renews without the log, by its own promise and that of another host.
+    RenewOffline(usize),
+    /// A message to a worker arrives, the newest (0) or the one before (1).
     Arrive(usize, usize),
-    /// A host appends the nth command that it may propose.
+    /// A host appends the nth of its possible proposals.
     Append(usize, usize),
-    /// A lapse that was on its way lands in the log.
+    /// The lapse in transit reaches the log.
     Land,
 }
 
@@ -142,8 +142,8 @@
     Action::Read(2),
     Action::Renew(0),
     Action::Renew(1),
-    Action::Dark(1),
-    Action::Dark(2),
+    Action::RenewOffline(1),
+    Action::RenewOffline(2),
     Action::Arrive(0, 0),
     Action::Arrive(0, 1),
     Action::Arrive(1, 0),
@@ -158,19 +158,19 @@
 ];
 
 impl Action {
-    fn word(self) -> String {
+    fn name(self) -> String {
         format!("{self:?}")
     }
 }
 
 impl World {
-    /// Task 0 runs on worker 0 under a fresh lease; all hosts know it.
+    /// The initial world, in which task 0 runs on worker 0 under a new lease and all hosts have read the log.
     fn new(tasks: u32) -> Self {
         let now = Millis(100_000);
         let mut world = Self {
             now,
             log: Vec::new(),
-            late: None,
+            in_transit: None,
             messages: [Vec::new(), Vec::new()],
             hosts: Vec::new(),
             workers: vec![Worker::default(), Worker::default()],
@@ -197,20 +197,20 @@
         world
     }
 
-    /// Whether a task runs twice or a worker is given more than it has.
-    fn broken(&self) -> bool {
+    /// Whether a task runs twice or a worker is overcommitted.
+    fn violated(&self) -> bool {
         let twice = self.workers[0].running.keys().any(|t| self.workers[1].running.contains_key(t));
         twice || self.workers.iter().any(|w| w.running.len() > 1)
     }
 
-    /// Takes a step; false if it is not possible or changes nothing.
+    /// Takes a step; false if it is impossible or has no effect.
     fn step(&mut self, action: Action, without: Without, bounds: Bounds) -> bool {
         let last = Millis(100_000 + STEP.0 * bounds.steps);
         match action {
             Action::Pass => self.now < last && self.pass(),
             Action::Read(host) => self.read(host, without),
-            Action::Renew(host) => self.send(host, without, bounds),
-            Action::Dark(peer) => self.send_dark(0, peer, without, bounds),
+            Action::Renew(host) => self.renew(host, without, bounds),
+            Action::RenewOffline(peer) => self.renew_offline(0, peer, without, bounds),
             Action::Arrive(to, n) => self.arrive(to, n, without),
             Action::Append(host, n) => {
                 let op = self.proposals(host, without, bounds).into_iter().nth(n);
@@ -236,13 +236,14 @@
     fn read(&mut self, host: usize, without: Without) -> bool {
         let now = self.now;
         let host = &mut self.hosts[host];
-        let fresh = host.read == now && host.cell.next == START + self.log.len() as u64;
+        let up_to_date =
+            host.read == now && host.cell.next == INITIAL_RECORDS + self.log.len() as u64;
         host.cell = folded(&host.cell, &self.log, without);
         host.read = now;
-        !fresh
+        !up_to_date
     }
 
-    fn send(&mut self, host: usize, without: Without, bounds: Bounds) -> bool {
+    fn renew(&mut self, host: usize, without: Without, bounds: Bounds) -> bool {
         let (stamp, known) = (self.now, &self.hosts[host]);
         if known.cell.health(&Subject::Worker(host as u32)) != Some(Health::Up) {
             return false;
@@ -254,15 +255,21 @@
         grant.is_some_and(|grant| self.post(host, grant, bounds))
     }
 
-    fn send_dark(&mut self, host: usize, peer: usize, without: Without, bounds: Bounds) -> bool {
+    fn renew_offline(
+        &mut self,
+        host: usize,
+        peer: usize,
+        without: Without,
+        bounds: Bounds,
+    ) -> bool {
         let (now, subject) = (self.now, Subject::Worker(host as u32));
-        for ally in [host, peer] {
-            let ally = &mut self.hosts[ally];
-            let known = ally.cell.health(&subject);
+        for voter in [host, peer] {
+            let voter = &mut self.hosts[voter];
+            let known = voter.cell.health(&subject);
             let allows = match without {
-                // The mutated host forgets that it promised.
+                // The host doesn't record its promise.
                 Without::OnePromise => known == Some(Health::Up),
-                _ => ally.promise.allow(&ally.cell, &subject, now),
+                _ => voter.promise.allow(&voter.cell, &subject, now),
             };
             if !allows {
                 return false;
@@ -282,19 +289,19 @@
             }
         }
         let message = Message { grant, starts, stops };
-        let fresh = self.messages[host].first() != Some(&message);
-        if fresh {
-            // So many may be on their way; an older one is lost.
+        let is_new = self.messages[host].first() != Some(&message);
+        if is_new {
+            // Messages beyond the bound are lost, the oldest first.
             self.messages[host].insert(0, message);
             self.messages[host].truncate(bounds.messages);
         }
-        fresh
+        is_new
     }
 
     fn arrive(&mut self, to: usize, n: usize, without: Without) -> bool {
-        // The message stays: it may arrive once more.
+        // The message stays in transit, as it may arrive again.
         let Some(message) = self.messages[to].get(n).cloned() else { return false };
-        let (now, before) = (self.now, self.workers[to].clone());
+        let (now, previous) = (self.now, self.workers[to].clone());
         let worker = &mut self.workers[to];
         worker.lease = worker.lease.max(message.grant.until);
         for (task, attempt) in message.stops {
@@ -311,26 +318,26 @@
                 worker.running.insert(task, attempt);
             }
         }
-        before != self.workers[to]
+        previous != self.workers[to]
     }
 
-    /// Appends at once, or late if it is a lapse, whose promises may get old on the way.
+    /// Appends a command, a lapse with a delay in which its promises may get outdated.
     fn append(&mut self, op: Op) -> bool {
         match op {
-            Op::Lapse { .. } if self.late.is_some() => return false,
-            Op::Lapse { .. } => self.late = Some(op),
+            Op::Lapse { .. } if self.in_transit.is_some() => return false,
+            Op::Lapse { .. } => self.in_transit = Some(op),
             op => self.log.push((self.now, op)),
         }
         true
     }
 
     fn land(&mut self) -> bool {
-        let Some(op) = self.late.take() else { return false };
+        let Some(op) = self.in_transit.take() else { return false };
         self.log.push((self.now, op));
         true
     }
 
-    /// What a host may propose on what it knows.
+    /// The commands that a host may propose on the state that it last read.
     fn proposals(&self, host: usize, without: Without, bounds: Bounds) -> Vec<Op> {
         let known = &self.hosts[host];
         let mut ops = Vec::new();
@@ -345,8 +352,8 @@
         }
         for (task, attempt) in &self.workers[host].stopped {
             let (task, attempt) = (*task, *attempt);
-            let on = known.cell.tasks[&task].state.worker() == Some(host as u32);
-            if on && known.cell.tasks[&task].attempt == attempt {
+            let assigned = known.cell.tasks[&task].state.worker() == Some(host as u32);
+            if assigned && known.cell.tasks[&task].attempt == attempt {
                 ops.push(Op::End { task, attempt, end: End::Stopped(1) });
             }
         }
@@ -383,26 +390,26 @@
     }
 }
 
-/// Folds that are kept at most.
+/// The most cached folds.
 const MAX_FOLDS: usize = 20_000;
 
 thread_local! {
-    /// The folds of all logs seen, by the log's hash.
+    /// The cached folds, by the hash of the log.
     static FOLDS: RefCell<HashMap<u64, Rc<Cell>>> = RefCell::default();
 }
 
-/// The fold of the whole log, beginning with a fold of a part of it.
-fn folded(known: &Rc<Cell>, log: &[(Millis, Op)], without: Without) -> Rc<Cell> {
+/// The fold of the whole log, starting from the fold of a prefix.
+fn folded(prefix: &Rc<Cell>, log: &[(Millis, Op)], without: Without) -> Rc<Cell> {
     let mut hasher = DefaultHasher::new();
-    (known.tasks.len(), without as u8, log).hash(&mut hasher);
+    (prefix.tasks.len(), without as u8, log).hash(&mut hasher);
     let key = hasher.finish();
     if let Some(cell) = FOLDS.with_borrow(|f| f.get(&key).cloned()) {
         return cell;
     }
-    let mut cell = Cell::clone(known);
-    let from = (known.next - START) as usize;
+    let mut cell = Cell::clone(prefix);
+    let from = (prefix.next - INITIAL_RECORDS) as usize;
     for (n, (time, op)) in log.iter().enumerate().skip(from) {
-        fold(&mut cell, START + n as u64, *time, op, without);
+        fold(&mut cell, INITIAL_RECORDS + n as u64, *time, op, without);
     }
     let cell = Rc::new(cell);
     FOLDS.with_borrow_mut(|folds| {
@@ -414,21 +421,21 @@
     cell
 }
 
-/// Folds one command, with a check taken out.
+/// Applies a command with one check removed.
 fn fold(cell: &mut Cell, offset: u64, time: Millis, op: &Op, without: Without) {
     let mut op = op.clone();
     let mut time = time;
     let rooms: Vec<Room> = cell.workers.iter().map(|w| w.room).collect();
     match (&mut op, without) {
         (Op::Claim { task, attempt, .. }, Without::AttemptCheck) => {
-            // Whatever attempt is named is taken for the next one of a pending task.
-            if let Some(known) = cell.tasks.get(task) {
-                *attempt = known.attempt + 1;
+            // The attempt becomes the next one of the task.
+            if let Some(current) = cell.tasks.get(task) {
+                *attempt = current.attempt + 1;
             }
         }
         (Op::End { task, attempt, .. }, Without::AttemptCheck) => {
-            if let Some(known) = cell.tasks.get(task) {
-                *attempt = known.attempt;
+            if let Some(current) = cell.tasks.get(task) {
+                *attempt = current.attempt;
             }
         }
         (Op::Claim { .. }, Without::RoomCheck) => {
--- a/crates/cell/tests/model/search.rs
+++ b/crates/cell/tests/model/search.rs
@@ -1,45 +1,49 @@
-//! Searches the model for broken promises: in breadth, and by long random walks.
+//! Searches the model for violations, breadth-first and by long random walks.
 
 use std::collections::{HashSet, VecDeque};
 use std::hash::{DefaultHasher, Hash, Hasher};
 
 use super::{ACTIONS, Action, Bounds, Found, Without, World};
 
-/// Explores breadth first, after the steps of `prefix`.
+/// Searches breadth-first, starting after the steps of `prefix`.
 pub fn explore(without: Without, bounds: Bounds, prefix: &[Action]) -> Found {
-    let mut first = World::new(bounds.tasks);
+    let mut start = World::new(bounds.tasks);
     for action in prefix {
-        assert!(first.step(*action, without, bounds), "{action:?} changes nothing");
+        assert!(start.step(*action, without, bounds), "{action:?} has no effect");
     }
-    let mut seen = HashSet::from([hash(&first)]);
-    let mut queue = VecDeque::from([first]);
+    let mut seen = HashSet::from([hash(&start)]);
+    let mut queue = VecDeque::from([start]);
     while let Some(world) = queue.pop_front() {
         for action in ACTIONS {
             let mut next = world.clone();
             if !next.step(action, without, bounds) || !seen.insert(hash(&next)) {
                 continue;
             }
-            if next.broken() {
-                return Found { states: seen.len(), all: false, broken: Some(vec![action.word()]) };
+            if next.violated() {
+                return Found {
+                    states: seen.len(),
+                    complete: false,
+                    violation: Some(vec![action.name()]),
+                };
             }
             queue.push_back(next);
         }
         if seen.len() >= bounds.states {
-            return Found { states: seen.len(), all: false, broken: None };
+            return Found { states: seen.len(), complete: false, violation: None };
         }
     }
-    Found { states: seen.len(), all: true, broken: None }
+    Found { states: seen.len(), complete: true, violation: None }
 }
 
-/// Takes random walks, which reach further than a search in breadth.
+/// Takes random walks, which reach deeper than the breadth-first search.
 pub fn walk(without: Without, bounds: Bounds, seed: u64, walks: usize, length: usize) -> Found {
-    let first = World::new(bounds.tasks);
+    let start = World::new(bounds.tasks);
     let mut rng = Xorshift(seed);
     let mut states = 0;
     for _ in 0..walks {
-        let mut world = first.clone();
-        let mut words = Vec::new();
-        // Each walk leaves some actions out: hosts that never read are where promises break.
+        let mut world = start.clone();
+        let mut steps = Vec::new();
+        // Each walk disables some actions, as violations need hosts that rarely read.
         let enabled: Vec<Action> = ACTIONS.into_iter().filter(|_| rng.below(10) < 7).collect();
         if enabled.is_empty() {
             continue;
@@ -52,16 +56,16 @@
             }
             world = next;
             states += 1;
-            words.push(action.word());
-            if world.broken() {
-                return Found { states, all: false, broken: Some(words) };
+            steps.push(action.name());
+            if world.violated() {
+                return Found { states, complete: false, violation: Some(steps) };
             }
         }
     }
-    Found { states, all: false, broken: None }
+    Found { states, complete: false, violation: None }
 }
 
-/// A small generator, the same on every machine.
+/// A random number generator that is the same on every machine.
 struct Xorshift(u64);
 
 impl Xorshift {
--- a/crates/config/src/check.rs
+++ b/crates/config/src/check.rs
@@ -1,21 +1,20 @@
-//! Checks that need more than one value: references, bounds and contradictions.
+//! Validation of configuration files: references, bounds and contradictions.
 
 use std::collections::BTreeMap;
 
 use crate::{Desired, Fault, Job};
 
-/// The scope that holds what all parties share.
+/// The scope of the configuration that all customers share.
 pub const PLATFORM: &str = "platform";
 
 /// The most tasks one job may have.
 const MAX_TASKS: u32 = 100_000;
 
-/// One contradiction: the path of keys to it, what is wrong, and what to do.
-type Found = (Vec<String>, String, &'static str);
+/// A problem: the path of keys to it, the text of the fault and the hint.
+type Problem = (Vec<String>, String, &'static str);
 
-/// Checks a file against itself and against the platform scope in force.
-///
-/// Returns every fault, in the order of the file's sections.
+/// Validates a file by itself and against the platform scope in force; returns every fault, in the order of the
+/// file's sections.
 pub fn check_refs(
     file: &str,
     source: &str,
@@ -23,25 +22,25 @@
     platform: Option<&Desired>,
 ) -> Vec<Fault> {
     let shared = if desired.scope == PLATFORM { Some(desired) } else { platform };
-    let mut found = Vec::new();
-    check_scope(desired, &mut found);
-    check_services(desired, &mut found);
-    check_classes(desired, &mut found);
-    check_parties(desired, &mut found);
+    let mut problems = Vec::new();
+    check_scope(desired, &mut problems);
+    check_services(desired, &mut problems);
+    check_classes(desired, &mut problems);
+    check_parties(desired, &mut problems);
     for (name, job) in &desired.jobs {
-        check_job(desired, shared, name, job, &mut found);
+        check_job(desired, shared, name, job, &mut problems);
     }
-    let fault = |(path, text, hint): Found| {
+    let fault = |(path, text, hint): Problem| {
         let path: Vec<_> = path.iter().map(String::as_str).collect();
         Fault::at(file, source, &path, text, hint)
     };
-    found.into_iter().map(fault).collect()
+    problems.into_iter().map(fault).collect()
 }
 
-fn check_scope(desired: &Desired, found: &mut Vec<Found>) {
+fn check_scope(desired: &Desired, problems: &mut Vec<Problem>) {
     if desired.scope.is_empty() {
         let text = "the scope is empty".into();
-        found.push((path(["scope"]), text, "write 'platform' or the name of a party"));
+        problems.push((path(["scope"]), text, "write 'platform' or the name of a party"));
     }
     let shared = [
         ("data_centres", desired.data_centres.is_empty()),
@@ -52,18 +51,18 @@
     for (key, empty) in shared {
         if desired.scope != PLATFORM && !empty {
             let text = format!("'{key}' belongs to the scope 'platform' only");
-            found.push((path([key]), text, "move it to the platform's file"));
+            problems.push((path([key]), text, "move it to the platform's file"));
         }
     }
     for (name, centre) in &desired.data_centres {
         if centre.hosts.is_empty() {
             let text = format!("data centre '{name}' has no hosts");
-            found.push((path(["data_centres", name]), text, "list its hosts"));
+            problems.push((path(["data_centres", name]), text, "list its hosts"));
         }
     }
 }
 
-fn check_services(desired: &Desired, found: &mut Vec<Found>) {
+fn check_services(desired: &Desired, problems: &mut Vec<Problem>) {
     for (name, service) in &desired.services {
         if service.slots == 0 || service.connections < service.slots {
             let text = format!(
@@ -71,25 +70,25 @@
                 service.slots, service.connections
             );
             let hint = "give it at least one slot and a connection for each slot";
-            found.push((path(["services", name]), text, hint));
+            problems.push((path(["services", name]), text, hint));
         }
     }
 }
 
-fn check_classes(desired: &Desired, found: &mut Vec<Found>) {
+fn check_classes(desired: &Desired, problems: &mut Vec<Problem>) {
     for (name, class) in &desired.classes {
         if class.price < 0 {
             let text = format!("class '{name}' has the negative price {}", class.price);
-            found.push((path(["classes", name, "price"]), text, "a price is 0 or more"));
+            problems.push((path(["classes", name, "price"]), text, "a price is 0 or more"));
         }
         if class.deadline.0.0 == 0 {
             let text = format!("class '{name}' has no time to answer");
-            found.push((path(["classes", name, "deadline"]), text, "allow at least 1ms"));
+            problems.push((path(["classes", name, "deadline"]), text, "allow at least 1ms"));
         }
     }
 }
 
-fn check_parties(desired: &Desired, found: &mut Vec<Found>) {
+fn check_parties(desired: &Desired, problems: &mut Vec<Problem>) {
     let mut tokens = BTreeMap::new();
     for (name, party) in &desired.parties {
         let token = &party.token_sha256;
@@ -97,16 +96,16 @@
         if !hex {
             let text = format!("the token hash of party '{name}' is no SHA-256 in hexadecimal");
             let hint = "make it with: printf TOKEN | sha256sum";
-            found.push((path(["parties", name, "token_sha256"]), text, hint));
+            problems.push((path(["parties", name, "token_sha256"]), text, hint));
         }
         if let Some(other) = tokens.insert(token, name) {
             let text = format!("parties '{other}' and '{name}' have the same token");
             let hint = "give each party its own token";
-            found.push((path(["parties", name, "token_sha256"]), text, hint));
+            problems.push((path(["parties", name, "token_sha256"]), text, hint));
         }
         for class in party.classes.iter().filter(|c| !desired.classes.contains_key(*c)) {
             let text = format!("party '{name}' names the class '{class}', which is not configured");
-            found.push((path(["parties", name, "classes"]), text, "use a class of this file"));
+            problems.push((path(["parties", name, "classes"]), text, "use a class of this file"));
         }
     }
 }
@@ -116,10 +115,10 @@
     shared: Option<&Desired>,
     name: &str,
     job: &Job,
-    found: &mut Vec<Found>,
+    problems: &mut Vec<Problem>,
 ) {
     let mut add = |key: &str, text: String, hint| {
-        found.push((path(["jobs", name, key]), text, hint));
+        problems.push((path(["jobs", name, key]), text, hint));
     };
     if job.tasks == 0 || job.tasks > MAX_TASKS {
         add("tasks", format!("job '{name}' has {} tasks", job.tasks), "use 1 to 100000");
--- a/crates/config/src/desired.rs
+++ b/crates/config/src/desired.rs
@@ -1,4 +1,4 @@
-//! The desired state of one scope, as a file holds it.
+//! The desired state of one scope, as in a configuration file.
 
 use std::collections::BTreeMap;
 
@@ -8,25 +8,25 @@
 
 use crate::{Megabytes, Span};
 
-/// The whole desired state of a scope: `platform`, or the name of a party.
+/// The complete desired state of a scope: `platform` or the name of a customer.
 #[derive(Debug, Default, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Desired {
-    /// The scope that this file describes as a whole.
+    /// The scope.
     pub scope: String,
-    /// Places with their own hosts and upstreams; platform scope only.
+    /// Data centres with their own hosts and upstreams; platform scope only.
     #[serde(default)]
     pub data_centres: BTreeMap<String, Centre>,
-    /// Services that callers reach; platform scope only.
+    /// Services that clients call; platform scope only.
     #[serde(default)]
     pub services: BTreeMap<String, Service>,
     /// Priority classes with their prices; platform scope only.
     #[serde(default)]
     pub classes: BTreeMap<String, Class>,
-    /// Parties with their limits; platform scope only.
+    /// Customers with their limits; platform scope only.
     #[serde(default)]
     pub parties: BTreeMap<String, Party>,
-    /// Batch jobs and watchers.
+    /// Batch jobs and watchers (long-running jobs).
     #[serde(default)]
     pub jobs: BTreeMap<String, Job>,
 }
@@ -35,9 +35,9 @@
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Centre {
-    /// The region it lies in.
+    /// The region of the data centre.
     pub region: String,
-    /// The hosts whose majority may give up a silent worker or gate.
+    /// The hosts a majority of which may declare a silent worker or gate lapsed.
     pub hosts: Vec<String>,
 }
 
@@ -45,13 +45,13 @@
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Service {
-    /// Requests that one upstream may run at once.
+    /// The most concurrent requests of one upstream.
     pub slots: u32,
-    /// Connections that one upstream may hold at once.
+    /// The most concurrent connections to one upstream.
     pub connections: u32,
-    /// The 99th percentile of latency that batch work must leave it.
+    /// The target of the 99th percentile of its latency, which batch work must not break.
     pub target: Span,
-    /// The largest request body, in bytes.
+    /// The largest request body, in bytes; 1 MiB by default.
     #[serde(default = "default_body")]
     pub max_body: u64,
 }
@@ -60,79 +60,79 @@
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Class {
-    /// What a party pays per second of use; dearer work goes first.
+    /// The price of a second of use; work with a higher price goes first.
     pub price: i64,
-    /// The deadline of a request that names none.
+    /// The default deadline of a request.
     pub deadline: Span,
 }
 
-/// A paying party.
+/// A customer.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Party {
-    /// The SHA-256 of its token, in hexadecimal.
+    /// The hexadecimal SHA-256 of its token.
     pub token_sha256: String,
-    /// Requests a second it may send in each data centre.
+    /// The most requests per second in each data centre.
     pub rate: u32,
-    /// The classes it may use.
+    /// The priority classes that it may use.
     pub classes: Vec<String>,
 }
 
-/// What happens to a task whose worker cannot be reached.
+/// What happens to a task whose worker is unreachable.
 #[derive(Debug, Default, Clone, Copy, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum WhenCut {
-    /// It stops when its lease lapses and is started elsewhere.
+    /// The task stops when its lease lapses, and another worker starts it.
     #[default]
     Yield,
-    /// It goes on where it is and is never moved without an operator's word.
+    /// The task continues on its worker until an operator releases it.
     Continue,
 }
 
-/// A batch job or a standing watcher.
+/// A batch job or a watcher.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Job {
-    /// The party that pays.
+    /// The customer that pays.
     pub party: String,
     /// The priority class.
     pub class: String,
-    /// What it does, the key under which its interference is learned.
+    /// The kind of its work; interference is learned for each kind.
     pub kind: String,
-    /// The data centre it runs in.
+    /// The data centre in which it runs.
     pub data_centre: String,
-    /// The number of tasks.
-    #[serde(default = "one")]
+    /// The number of tasks, 1 by default.
+    #[serde(default = "default_tasks")]
     pub tasks: u32,
-    /// Processor cores of a task.
+    /// The processor cores of a task.
     pub cores: f64,
-    /// Memory of a task.
+    /// The memory of a task.
     pub memory: Megabytes,
-    /// Accelerators of a task.
+    /// The accelerators of a task.
     #[serde(default)]
     pub accelerators: u32,
-    /// The run time its owner expects; a watcher has none.
+    /// The expected run time of a task; none for a watcher.
     #[serde(default)]
     pub run_time: Option<Span>,
-    /// Runs until it is cancelled.
+    /// Whether it is a watcher, which runs until it is cancelled.
     #[serde(default)]
     pub watcher: bool,
-    /// What happens in a cut.
+    /// What happens to a task whose worker is unreachable.
     #[serde(default)]
     pub when_cut: WhenCut,
-    /// Failures of a task before it stops for good.
+    /// The number of failed attempts at which a task fails, 5 by default.
     #[serde(default = "default_failures")]
     pub failures: u16,
 }
 
 impl Job {
-    /// The room that one task takes.
+    /// The room that one task needs.
     pub fn room(&self) -> Room {
         Room::new(self.cores, self.memory.0, self.accelerators)
     }
 }
 
-fn one() -> u32 {
+fn default_tasks() -> u32 {
     1
 }
 
--- a/crates/config/src/diff.rs
+++ b/crates/config/src/diff.rs
@@ -7,22 +7,22 @@
 
 use crate::Desired;
 
-/// One named thing that a change touches.
+/// A change of one named entry.
 #[derive(Debug, Clone, PartialEq, Eq, Display, Serialize)]
 #[serde(rename_all = "lowercase")]
 pub enum Edit {
-    /// It is new.
+    /// The entry is added.
     #[display("+ {_0}")]
     Add(String),
-    /// It is there in both, with other values.
+    /// The entry's values change.
     #[display("~ {_0}")]
     Change(String),
-    /// It goes.
+    /// The entry is removed.
     #[display("- {_0}")]
     Remove(String),
 }
 
-/// What changes from `old` to `new`, by section and name.
+/// The changes from `old` to `new`, by section and name.
 pub fn diff(old: &Desired, new: &Desired) -> Vec<Edit> {
     let mut edits = Vec::new();
     section("data_centre", &old.data_centres, &new.data_centres, &mut edits);
@@ -34,20 +34,20 @@
 }
 
 fn section<T: PartialEq>(
-    word: &str,
+    kind: &str,
     old: &BTreeMap<String, T>,
     new: &BTreeMap<String, T>,
     edits: &mut Vec<Edit>,
 ) {
     for (name, value) in new {
         match old.get(name) {
-            None => edits.push(Edit::Add(format!("{word} {name}"))),
-            Some(before) if before != value => {
-                edits.push(Edit::Change(format!("{word} {name}")));
+            None => edits.push(Edit::Add(format!("{kind} {name}"))),
+            Some(previous) if previous != value => {
+                edits.push(Edit::Change(format!("{kind} {name}")));
             }
             Some(_) => {}
         }
     }
-    let gone = old.keys().filter(|n| !new.contains_key(*n));
-    edits.extend(gone.map(|n| Edit::Remove(format!("{word} {n}"))));
+    let removed = old.keys().filter(|n| !new.contains_key(*n));
+    edits.extend(removed.map(|n| Edit::Remove(format!("{kind} {n}"))));
 }
--- a/crates/config/src/fold.rs
+++ b/crates/config/src/fold.rs
@@ -1,4 +1,4 @@
-//! The fold of the `config` stream: of racing changes exactly one wins.
+//! The fold of the `config` stream, which accepts exactly one of several concurrent changes.
 
 use std::collections::{BTreeMap, VecDeque};
 
@@ -9,19 +9,19 @@
 use crate::Desired;
 use crate::check::{PLATFORM, check_refs};
 
-/// Ids of changes that are remembered, so that a repeated append does nothing.
-const REMEMBERED: usize = 1024;
+/// The number of remembered change ids, by which a repeated append is recognised.
+const MAX_REMEMBERED: usize = 1024;
 
-/// The whole new state of one scope.
+/// A change that replaces the state of one scope.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Change {
-    /// Names this change, so that its answer can be found when it was lost.
+    /// The id of the change, by which its verdict can be looked up after a lost answer.
     pub id: Uuid,
-    /// The version of the scope that it was made from; 0 for a new scope.
+    /// The version of the scope that the change is based on; 0 for a new scope.
     pub base: u64,
     /// The operator who made it.
     pub by: String,
-    /// The whole new state.
+    /// The complete new state.
     pub desired: Desired,
 }
 
@@ -31,57 +31,57 @@
 pub enum ConfigRecord {
     /// A change.
     Change(Change),
-    /// All scopes after a prefix of the stream, for those who come after its retention.
+    /// All scopes after a prefix of the stream, for readers that start after its retention.
     Snapshot(Config),
 }
 
 impl ConfigRecord {
-    /// The bytes that go into the log.
+    /// Encodes the record as JSON.
     pub fn encode(&self) -> Vec<u8> {
         serde_json::to_vec(self).expect("records hold no type that JSON refuses")
     }
 
-    /// Reads a record, or nothing if it is not one of this version.
+    /// Decodes a record; none if it is not one of this version.
     pub fn decode(bytes: &[u8]) -> Option<Self> {
         serde_json::from_slice(bytes).ok()
     }
 }
 
-/// One scope in force.
+/// The state of a scope in force.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Scoped {
     /// The version of the configuration that last changed it.
     pub version: u64,
     /// The operator who changed it.
     pub by: String,
-    /// Its state.
+    /// The state.
     pub desired: Desired,
 }
 
-/// Why a change was turned down.
+/// Why a change was refused.
 #[derive(Debug, Clone, PartialEq, Eq, Display, Serialize, Deserialize)]
 pub enum Refusal {
-    /// Another operator's change came first.
+    /// Another change of the scope came first.
     #[display("conflict: made from version {base}, current is {current}, by {by}")]
     Conflict {
-        /// The version it was made from.
+        /// The version that the change is based on.
         base: u64,
         /// The version in force.
         current: u64,
-        /// Who made the version in force.
+        /// The operator who made the version in force.
         by: String,
     },
-    /// It contradicts what is in force.
+    /// The change contradicts the configuration in force.
     #[display("the change contradicts the configuration in force: {_0}")]
     Invalid(String),
 }
 
-/// What the fold said to a change.
+/// The fold's decision on a change.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Verdict {
-    /// It is accepted as this version.
+    /// The change is accepted as this version.
     Accepted(u64),
-    /// It is turned down.
+    /// The change is refused.
     Refused(Refusal),
 }
 
@@ -94,11 +94,12 @@
     pub version: u64,
     /// The scopes by name.
     pub scopes: BTreeMap<String, Scoped>,
-    seen: VecDeque<(Uuid, Verdict)>,
+    #[serde(rename = "seen")]
+    verdicts: VecDeque<(Uuid, Verdict)>,
 }
 
 impl Config {
-    /// Folds the record at `offset`; an id seen before changes nothing.
+    /// Folds the change at `offset`; a remembered id changes nothing.
     pub fn fold(&mut self, offset: u64, change: Change) -> Verdict {
         if offset < self.next {
             return self.verdict(change.id).unwrap_or(Verdict::Accepted(self.version));
@@ -112,42 +113,42 @@
             Some(refusal) => Verdict::Refused(refusal),
             None => Verdict::Accepted(self.accept(offset + 1, change)),
         };
-        if self.seen.len() == REMEMBERED {
-            self.seen.pop_front();
+        if self.verdicts.len() == MAX_REMEMBERED {
+            self.verdicts.pop_front();
         }
-        self.seen.push_back((id, verdict.clone()));
+        self.verdicts.push_back((id, verdict.clone()));
         verdict
     }
 
-    /// Passes over a record that changes nothing.
+    /// Skips the record at `offset`, which holds no change.
     pub fn skip(&mut self, offset: u64) {
         self.next = self.next.max(offset + 1);
     }
 
-    /// Takes in a state that is further along the stream; an older one changes nothing.
+    /// Replaces the state by one further along the stream; false if `newer` is not.
     pub fn catch_up(&mut self, newer: Config) -> bool {
-        let takes = newer.next > self.next;
-        if takes {
+        let ahead = newer.next > self.next;
+        if ahead {
             *self = newer;
         }
-        takes
+        ahead
     }
 
-    /// Takes in a scope that a peer has in force, unless it is older than what is known.
+    /// Adopts a scope that a peer has in force if it is newer than this one's.
     pub fn adopt(&mut self, name: &str, scoped: Scoped) {
-        let known = self.scopes.get(name).map_or(0, |s| s.version);
-        if scoped.version > known {
+        let current = self.scopes.get(name).map_or(0, |s| s.version);
+        if scoped.version > current {
             self.version = self.version.max(scoped.version);
             self.scopes.insert(name.into(), scoped);
         }
     }
 
-    /// What was said to the change with this id, if it is remembered.
+    /// The verdict on the change with this id, if it is remembered.
     pub fn verdict(&self, id: Uuid) -> Option<Verdict> {
-        self.seen.iter().rev().find(|s| s.0 == id).map(|s| s.1.clone())
+        self.verdicts.iter().rev().find(|s| s.0 == id).map(|s| s.1.clone())
     }
 
-    /// The platform scope.
+    /// The desired state of the platform scope.
     pub fn platform(&self) -> Option<&Desired> {
         self.scopes.get(PLATFORM).map(|s| &s.desired)
     }
@@ -158,10 +159,10 @@
     }
 
     fn judge(&self, change: &Change) -> Option<Refusal> {
-        let known = self.scopes.get(&change.desired.scope);
-        let current = known.map_or(0, |s| s.version);
+        let scoped = self.scopes.get(&change.desired.scope);
+        let current = scoped.map_or(0, |s| s.version);
         if change.base != current {
-            let by = known.map(|s| s.by.clone()).unwrap_or_default();
+            let by = scoped.map(|s| s.by.clone()).unwrap_or_default();
             return Some(Refusal::Conflict { base: change.base, current, by });
         }
         let faults = check_refs("change", "", &change.desired, self.platform());
--- a/crates/config/src/lib.rs
+++ b/crates/config/src/lib.rs
@@ -1,4 +1,4 @@
-//! What operators want: files, checks, differences and the fold of the `config` stream.
+//! Configuration: files of operators, validation, differences and the fold of the `config` stream.
 
 mod check;
 mod desired;
--- a/crates/config/src/read.rs
+++ b/crates/config/src/read.rs
@@ -1,4 +1,4 @@
-//! Reads YAML with bounds against hostile files and says where a fault is.
+//! Reads YAML with limits against hostile files and reports the place of a fault.
 
 use std::fs::File;
 use std::io::Read;
@@ -8,54 +8,54 @@
 use serde::de::DeserializeOwned;
 use serde_saphyr::{Budget, DuplicateKeyPolicy, Options};
 
-/// The largest file that is read, in bytes.
+/// The largest accepted file, in bytes.
 pub const MAX_FILE: u64 = 4 << 20;
 
-/// Nodes of a file; a file of the largest size that is no bomb stays below it.
+/// The most YAML nodes of a file; an ordinary file of [`MAX_FILE`] bytes stays below it.
 const MAX_NODES: usize = 400_000;
 
-/// Aliases of a file; ours need none, a bomb needs many.
+/// The most YAML aliases of a file; our files need none, an expansion bomb needs many.
 const MAX_ALIASES: usize = 16;
 
-/// What is wrong in a file, where, and what is allowed.
+/// A fault in a file with its place and a hint for its correction.
 #[derive(Debug, Clone, PartialEq, Eq, Display)]
 #[display("{file}:{line}:{column}: {text}\n  hint: {hint}")]
 pub struct Fault {
-    /// The file as the operator named it.
+    /// The file's name as the operator gave it.
     pub file: String,
     /// The line from 1, or 0 for the file as a whole.
     pub line: u64,
     /// The column from 1, or 0 for the line as a whole.
     pub column: u64,
-    /// What is wrong.
+    /// The fault.
     pub text: String,
-    /// What to do.
+    /// How to correct it.
     pub hint: String,
 }
 
 impl std::error::Error for Fault {}
 
 impl Fault {
-    /// A fault of a file as a whole.
+    /// A fault of the file as a whole.
     pub fn whole(file: &str, text: impl Into<String>, hint: impl Into<String>) -> Self {
         Self { file: file.into(), line: 0, column: 0, text: text.into(), hint: hint.into() }
     }
 
-    /// A fault at the first line of `source` that holds `key:`, below the line of `within`.
+    /// A fault at the key that `path` leads to in `source`, or at the deepest key of the path that is there.
     pub fn at(file: &str, source: &str, path: &[&str], text: String, hint: &str) -> Self {
         let line = find(source, path);
         Self { file: file.into(), line, column: 1, text, hint: hint.into() }
     }
 }
 
-/// Reads a file of at most [`MAX_FILE`] bytes; returns its text too.
+/// Reads a file of at most [`MAX_FILE`] bytes; returns its value and its text.
 pub fn read_file<T: DeserializeOwned>(path: &Path) -> Result<(T, String), Fault> {
     let name = path.display().to_string();
-    let fail =
+    let io_fault =
         |e: std::io::Error| Fault::whole(&name, e.to_string(), "name a file that can be read");
-    let file = File::open(path).map_err(fail)?;
+    let file = File::open(path).map_err(io_fault)?;
     let mut bytes = Vec::new();
-    file.take(MAX_FILE + 1).read_to_end(&mut bytes).map_err(fail)?;
+    file.take(MAX_FILE + 1).read_to_end(&mut bytes).map_err(io_fault)?;
     if bytes.len() as u64 > MAX_FILE {
         let text = format!("the file is larger than {MAX_FILE} bytes");
         return Err(Fault::whole(&name, text, "split it into one file for each party"));
@@ -66,7 +66,7 @@
     Ok((value, text))
 }
 
-/// Refuses a text that may have been cut: the end mark of YAML must be its last line.
+/// Refuses a text that may be truncated: its last line must be YAML's end marker.
 pub fn check_end(name: &str, text: &str) -> Result<(), Fault> {
     let last = text.lines().rev().find(|l| !l.trim().is_empty());
     if last == Some("...") && text.ends_with('\n') {
@@ -81,17 +81,17 @@
     })
 }
 
-/// Reads a whole text or nothing.
+/// Parses a text; `name` is the file's name in faults.
 pub fn read<T: DeserializeOwned>(name: &str, text: &str) -> Result<T, Fault> {
     serde_saphyr::from_str_with_options(text, options()).map_err(|e| {
-        let plain = e.without_snippet();
-        let at = plain.location();
+        let error = e.without_snippet();
+        let location = error.location();
         Fault {
             file: name.into(),
-            line: at.map_or(0, |l| l.line()),
-            column: at.map_or(0, |l| l.column()),
-            text: plain.render().trim().to_string(),
-            hint: hint(&plain.to_string()).into(),
+            line: location.map_or(0, |l| l.line()),
+            column: location.map_or(0, |l| l.column()),
+            text: error.render().trim().to_string(),
+            hint: hint(&error.to_string()).into(),
         }
     })
 }
@@ -114,26 +114,26 @@
         ("budget", "the file is too deep or repeats itself too often; write it out plainly"),
         ("one of", "write the unit right after the number"),
     ];
-    let hit = HINTS.iter().find(|h| text.contains(h.0));
-    hit.map_or("see docs/OPERATING.md for what a file may hold", |h| h.1)
+    let found = HINTS.iter().find(|h| text.contains(h.0));
+    found.map_or("see docs/OPERATING.md for what a file may hold", |h| h.1)
 }
 
-/// The line of a nested key, found by descending key by key; 0 if it is not there.
+/// The line of the deepest key of `path` that is found, searched key by key; 0 if none is.
 fn find(source: &str, path: &[&str]) -> u64 {
-    let mut want = path.iter();
-    let Some(mut key) = want.next() else { return 0 };
-    let mut found = 0;
+    let mut keys = path.iter();
+    let Some(mut key) = keys.next() else { return 0 };
+    let mut last = 0;
     for (n, line) in source.lines().enumerate() {
-        let word = line.trim_start().trim_start_matches("- ");
-        let hit = word.strip_prefix(key).is_some_and(|rest| rest.trim_start().starts_with(':'));
-        if !hit {
+        let rest = line.trim_start().trim_start_matches("- ");
+        let matches = rest.strip_prefix(key).is_some_and(|rest| rest.trim_start().starts_with(':'));
+        if !matches {
             continue;
         }
-        found = n as u64 + 1;
-        match want.next() {
+        last = n as u64 + 1;
+        match keys.next() {
             Some(next) => key = next,
-            None => return found,
+            None => return last,
         }
     }
-    found
+    last
 }
--- a/crates/config/src/settings.rs
+++ b/crates/config/src/settings.rs
@@ -1,4 +1,4 @@
-//! The settings of one process, checked as a whole at its start.
+//! The settings of one process, validated at its start.
 
 use std::net::SocketAddr;
 use std::path::Path;
@@ -7,60 +7,60 @@
 
 use crate::{Fault, Span, read_file};
 
-/// What a gate or a sched needs to know before it can ask anybody.
+/// The settings that a gate or a sched needs before its first network call.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Settings {
     /// The host's name, unique in its data centre.
     pub name: String,
-    /// The data centre it stands in.
+    /// The host's data centre.
     pub data_centre: String,
     /// The region of the data centre.
     pub region: String,
-    /// Where it listens for HTTP.
+    /// The address on which it serves HTTP.
     pub http: SocketAddr,
-    /// Where it listens for the other processes of the project.
+    /// The address on which it serves the other gates and scheds.
     pub peer: SocketAddr,
-    /// Where the platform is.
+    /// The addresses of the platform's services.
     pub platform: Platform,
-    /// Whether it enters itself into the host list.
+    /// Who adds it to the host list.
     #[serde(default)]
     pub announce: Announce,
-    /// The longest wait for in-flight work at a planned stop.
+    /// The longest wait for in-flight work at a planned stop, 10 s by default.
     #[serde(default = "default_drain")]
     pub drain: Span,
 }
 
-/// The platform's services.
+/// The addresses of the platform's services.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Platform {
-    /// The log service.
+    /// The address of the log service.
     pub log: SocketAddr,
-    /// The host list.
+    /// The address of the host list service.
     pub hosts: SocketAddr,
 }
 
-/// Who enters a process into the host list.
+/// Who adds a process to the host list.
 #[derive(Debug, Default, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum Announce {
-    /// The platform does.
+    /// The platform adds it.
     #[default]
     Platform,
-    /// The process does, with the ports that the system gave it.
+    /// The process adds itself, with the ports that the operating system assigned.
     Itself,
 }
 
 impl Settings {
-    /// Reads and checks a settings file.
+    /// Reads and validates a settings file.
     pub fn load(path: &Path) -> Result<Self, Vec<Fault>> {
         let (settings, text): (Settings, String) = read_file(path).map_err(|f| vec![f])?;
         let faults = settings.faults(&path.display().to_string(), &text);
         if faults.is_empty() { Ok(settings) } else { Err(faults) }
     }
 
-    /// Every contradiction in the settings.
+    /// Every fault in the settings; `source` is the file's text, for the line numbers.
     pub fn faults(&self, file: &str, source: &str) -> Vec<Fault> {
         let mut faults = Vec::new();
         let mut add = |path: &[&str], text: &str, hint: &str| {
--- a/crates/config/src/unit.rs
+++ b/crates/config/src/unit.rs
@@ -1,4 +1,4 @@
-//! Values with units, as operators write them: `250ms`, `3s`, `2m`, `512MB`, `4GB`.
+//! Values with units in configuration files: `250ms`, `3s`, `2m`, `512MB`, `4GB`.
 
 use std::fmt;
 
@@ -8,26 +8,28 @@
 
 use myrtle_base::Millis;
 
-/// A length of time written with its unit.
+/// A duration that is written with its unit.
 #[derive(Debug, Default, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Deref, From)]
 pub struct Span(pub Millis);
 
-/// A size of memory written with its unit, kept in megabytes.
+/// A memory size in megabytes that is written with its unit.
 #[derive(Debug, Default, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Deref, From)]
 pub struct Megabytes(pub u32);
 
-const SPANS: &[(&str, u64)] = &[("ms", 1), ("s", 1_000), ("m", 60_000), ("h", 3_600_000)];
-const SIZES: &[(&str, u64)] = &[("MB", 1), ("GB", 1_000), ("TB", 1_000_000)];
+/// Time units in milliseconds, in rising order.
+const TIME_UNITS: &[(&str, u64)] = &[("ms", 1), ("s", 1_000), ("m", 60_000), ("h", 3_600_000)];
+/// Memory units in megabytes, in rising order.
+const MEMORY_UNITS: &[(&str, u64)] = &[("MB", 1), ("GB", 1_000), ("TB", 1_000_000)];
 
 impl fmt::Display for Span {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        write_unit(f, self.0.0, SPANS)
+        write_unit(f, self.0.0, TIME_UNITS)
     }
 }
 
 impl fmt::Display for Megabytes {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        write_unit(f, u64::from(self.0), SIZES)
+        write_unit(f, u64::from(self.0), MEMORY_UNITS)
     }
 }
 
@@ -46,7 +48,7 @@
 impl<'de> Deserialize<'de> for Span {
     fn deserialize<D: Deserializer<'de>>(d: D) -> Result<Self, D::Error> {
         let text = String::deserialize(d)?;
-        let n = read_unit(&text, SPANS).map_err(D::Error::custom)?;
+        let n = read_unit(&text, TIME_UNITS).map_err(D::Error::custom)?;
         Ok(Span(Millis(n)))
     }
 }
@@ -54,13 +56,13 @@
 impl<'de> Deserialize<'de> for Megabytes {
     fn deserialize<D: Deserializer<'de>>(d: D) -> Result<Self, D::Error> {
         let text = String::deserialize(d)?;
-        let n = read_unit(&text, SIZES).map_err(D::Error::custom)?;
+        let n = read_unit(&text, MEMORY_UNITS).map_err(D::Error::custom)?;
         let n = u32::try_from(n).map_err(|_| D::Error::custom("the size is too large"))?;
         Ok(Megabytes(n))
     }
 }
 
-/// Reads a whole number with one of the units.
+/// Parses a whole number that is followed by one of the units, in multiples of the smallest unit.
 fn read_unit(text: &str, units: &[(&str, u64)]) -> Result<u64, String> {
     let end = text.find(|c: char| !c.is_ascii_digit()).unwrap_or(text.len());
     let (digits, name) = text.split_at(end);
--- a/crates/config/tests/files.rs
+++ b/crates/config/tests/files.rs
@@ -1,4 +1,4 @@
-//! Files: what is wrong is said with its place, and nothing is partly taken.
+//! Configuration files: faults have their place, and a faulty file has no effect.
 
 use myrtle_config::{
     Change, Config, Desired, Fault, Refusal, Settings, Verdict, check_end, check_refs, read,
@@ -7,7 +7,7 @@
 use rstest::rstest;
 use uuid::Uuid;
 
-const GOOD: &str = "\
+const VALID: &str = "\
 scope: platform
 data_centres:
   a:
@@ -46,8 +46,8 @@
 }
 
 #[test]
-fn a_good_file_has_no_faults() {
-    assert_eq!(faults(GOOD), []);
+fn a_valid_file_has_no_faults() {
+    assert_eq!(faults(VALID), []);
 }
 
 #[rstest]
@@ -68,30 +68,30 @@
     #[case] from: &str,
     #[case] to: &str,
     #[case] line: u64,
-    #[case] word: &str,
+    #[case] part: &str,
 ) {
-    let text = GOOD.replacen(from, to, 1);
-    assert_ne!(text, GOOD);
+    let text = VALID.replacen(from, to, 1);
+    assert_ne!(text, VALID);
     let faults = faults(&text);
     let fault = faults.first().expect("there is a fault");
     assert!(fault.line.abs_diff(line) <= 1, "{fault}");
-    assert!(word.split('|').any(|w| fault.text.contains(w)), "{fault}");
+    assert!(part.split('|').any(|w| fault.text.contains(w)), "{fault}");
     assert!(!fault.hint.is_empty());
     assert!(fault.to_string().starts_with("f.yaml:"));
 }
 
 #[test]
-fn a_file_that_was_cut_anywhere_is_refused() {
-    let whole = format!("{GOOD}...\n");
+fn a_file_truncated_anywhere_is_refused() {
+    let whole = format!("{VALID}...\n");
     assert_eq!(check_end("f", &whole), Ok(()));
     for end in 0..whole.len() {
-        let fault = check_end("f", &whole[..end]).expect_err("the text was cut");
+        let fault = check_end("f", &whole[..end]).expect_err("the text is truncated");
         assert!(!fault.hint.is_empty());
     }
 }
 
 #[test]
-fn a_bomb_is_refused() {
+fn an_expansion_bomb_is_refused() {
     let mut bomb = String::from("a0: &a0 [x, x, x, x, x, x, x, x, x]\n");
     for n in 1..12 {
         let before = format!("*a{}", n - 1);
@@ -104,7 +104,7 @@
 }
 
 #[test]
-fn a_huge_file_is_not_read_to_its_end() {
+fn a_huge_file_is_refused() {
     let path = std::env::temp_dir().join(format!("myrtle-huge-{}.yaml", std::process::id()));
     let file = std::fs::File::create(&path).unwrap();
     file.set_len(100 << 20).unwrap();
@@ -119,21 +119,21 @@
 }
 
 #[test]
-fn of_two_racing_operators_one_wins_and_the_other_is_told() {
+fn of_two_concurrent_changes_one_is_accepted() {
     let mut config = Config::default();
-    assert_eq!(config.fold(0, change(0, "anna", GOOD)), Verdict::Accepted(1));
-    let other = GOOD.replace("rate: 10", "rate: 20");
+    assert_eq!(config.fold(0, change(0, "anna", VALID)), Verdict::Accepted(1));
+    let other = VALID.replace("rate: 10", "rate: 20");
     assert_eq!(config.fold(1, change(1, "anna", &other)), Verdict::Accepted(2));
     let refusal = Refusal::Conflict { base: 1, current: 2, by: "anna".into() };
-    assert_eq!(config.fold(2, change(1, "bela", GOOD)), Verdict::Refused(refusal.clone()));
+    assert_eq!(config.fold(2, change(1, "bela", VALID)), Verdict::Refused(refusal.clone()));
     assert_eq!(refusal.to_string(), "conflict: made from version 1, current is 2, by anna");
     assert_eq!(config.version, 2);
 }
 
 #[test]
-fn an_append_whose_answer_was_lost_counts_once() {
+fn a_repeated_append_counts_once() {
     let mut config = Config::default();
-    let change = change(0, "anna", GOOD);
+    let change = change(0, "anna", VALID);
     assert_eq!(config.fold(0, change.clone()), Verdict::Accepted(1));
     assert_eq!(config.fold(1, change.clone()), Verdict::Accepted(1));
     assert_eq!(config.verdict(change.id), Some(Verdict::Accepted(1)));
@@ -141,22 +141,22 @@
 }
 
 #[test]
-fn an_older_state_is_never_taken_in() {
+fn an_older_state_is_never_adopted() {
     let mut config = Config::default();
-    config.fold(0, change(0, "anna", GOOD));
+    config.fold(0, change(0, "anna", VALID));
     let old = config.clone();
-    config.fold(1, change(1, "anna", &GOOD.replace("rate: 10", "rate: 20")));
+    config.fold(1, change(1, "anna", &VALID.replace("rate: 10", "rate: 20")));
     let newest = config.clone();
     assert!(!config.catch_up(old));
     assert_eq!(config, newest);
 }
 
 #[test]
-fn a_change_that_contradicts_what_is_in_force_is_refused_by_the_fold() {
+fn the_fold_refuses_a_change_that_contradicts_the_configuration_in_force() {
     let mut config = Config::default();
-    let own = "scope: kyma\njobs:\n  x:\n    party: kyma\n    class: cheap\n    kind: k\n    \
+    let file = "scope: kyma\njobs:\n  x:\n    party: kyma\n    class: cheap\n    kind: k\n    \
                data_centre: a\n    cores: 1\n    memory: 1GB\n    run_time: 1s\n";
-    let verdict = config.fold(0, change(0, "kyma", own));
+    let verdict = config.fold(0, change(0, "kyma", file));
     assert!(matches!(verdict, Verdict::Refused(Refusal::Invalid(_))), "{verdict:?}");
     assert_eq!(config.version, 0);
 }
@@ -179,7 +179,7 @@
 #[case::port_0_unannounced("http: 127.0.0.1:8080", "http: 127.0.0.1:0", 4)]
 #[case::wrong_unit("region: r", "region: r\ndrain: 10", 4)]
 #[case::log_port_0("log: 127.0.0.1:9000", "log: 127.0.0.1:0", 7)]
-fn settings_are_checked_as_a_whole(#[case] from: &str, #[case] to: &str, #[case] line: u64) {
+fn faulty_settings_are_refused(#[case] from: &str, #[case] to: &str, #[case] line: u64) {
     let text = SETTINGS.replacen(from, to, 1);
     let faults = match read::<Settings>("s.yaml", &text) {
         Ok(settings) => settings.faults("s.yaml", &text),
@@ -190,7 +190,7 @@
 }
 
 #[test]
-fn good_settings_have_no_faults() {
+fn valid_settings_have_no_faults() {
     let settings: Settings = read("s.yaml", SETTINGS).unwrap();
     assert_eq!(settings.faults("s.yaml", SETTINGS), []);
 }
--- a/crates/job/src/fault.rs
+++ b/crates/job/src/fault.rs
@@ -1,70 +1,70 @@
-//! What is wrong with a job that was handed in.
+//! Validation of submitted jobs.
 
 use derive_more::{Display, Error};
 
 use crate::JobSpec;
 
-/// The longest text that is passed on to workers, in bytes; the platform's bound.
-const BODY_BYTES: usize = 4000;
+/// The longest body that is passed to workers, in bytes; the platform's limit.
+const MAX_BODY_BYTES: usize = 4000;
 
-/// The most tasks of one step; a step's tasks are numbered with 16 bits.
-const TASKS: u16 = 10_000;
+/// The most tasks of one step; a task's index has 16 bits.
+const MAX_TASKS: u16 = 10_000;
 
-/// The most steps of one job; far above what clients send.
-const STEPS: usize = 1_000;
+/// The most steps of one job, far above what clients send.
+const MAX_STEPS: usize = 1_000;
 
-/// The longest estimate, in milliseconds: 30 days, so that sums over all steps stay far from overflow.
-const ESTIMATE: u64 = 30 * 24 * 60 * 60 * 1_000;
+/// The longest estimate, in milliseconds (30 days), so that the sum over all steps can't overflow.
+const MAX_ESTIMATE_MS: u64 = 30 * 24 * 60 * 60 * 1_000;
 
-/// A job that can't be taken, with the reason.
+/// Why a job is refused.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Display, Error)]
 pub enum Fault {
-    /// There is nothing to run.
+    /// The job has no steps.
     #[display("the job has no steps; name at least one")]
     NoSteps,
-    /// There are too many steps.
+    /// The job has more than `MAX_STEPS` steps.
     #[display("the job has more than 1000 steps; hand it in as several jobs")]
     ManySteps,
-    /// The text for the workers is too long.
+    /// The body is longer than `MAX_BODY_BYTES`.
     #[display("the text for the workers is over 4000 bytes; shorten it")]
     LongBody,
-    /// A step has no tasks or too many.
+    /// A step has no tasks or more than `MAX_TASKS`.
     #[display("step {step} has no tasks or over 10000; correct its count")]
     Tasks {
-        /// The step.
+        /// The index of the step.
         step: usize,
     },
-    /// A step is said to take too long.
+    /// A step's estimate is above `MAX_ESTIMATE_MS`.
     #[display("step {step} is estimated at over 30 days; name its time in milliseconds")]
     Estimate {
-        /// The step.
+        /// The index of the step.
         step: usize,
     },
-    /// A step waits for itself or a later one.
+    /// A step depends on itself or a later step.
     #[display("step {step} waits for a step that is not before it; reorder the steps")]
     Order {
-        /// The step.
+        /// The index of the step.
         step: usize,
     },
 }
 
 impl JobSpec {
-    /// Checks what can be checked without knowing the workers.
+    /// Checks the job's limits and the order of its steps.
     pub fn check(&self) -> Result<(), Fault> {
         if self.steps.is_empty() {
             return Err(Fault::NoSteps);
         }
-        if self.steps.len() > STEPS {
+        if self.steps.len() > MAX_STEPS {
             return Err(Fault::ManySteps);
         }
-        if self.body.len() > BODY_BYTES {
+        if self.body.len() > MAX_BODY_BYTES {
             return Err(Fault::LongBody);
         }
         for (step, s) in self.steps.iter().enumerate() {
-            if s.count == 0 || s.count > TASKS {
+            if s.count == 0 || s.count > MAX_TASKS {
                 return Err(Fault::Tasks { step });
             }
-            if s.estimate > ESTIMATE {
+            if s.estimate > MAX_ESTIMATE_MS {
                 return Err(Fault::Estimate { step });
             }
             if s.after.iter().any(|&a| usize::from(a) >= step) {
--- a/crates/job/src/id.rs
+++ b/crates/job/src/id.rs
@@ -1,4 +1,4 @@
-//! Names of jobs and of their tasks.
+//! Identifiers of jobs and their tasks.
 
 use std::fmt;
 use std::str::FromStr;
@@ -6,31 +6,31 @@
 use derive_more::{Display, Error};
 use serde::{Deserialize, Serialize};
 
-/// How many hexadecimal digits name a job.
+/// The number of hexadecimal digits in a job's id.
 const DIGITS: usize = 16;
 
-/// The name that a client chose for its job.
+/// The id that the client chose for its job.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct JobId(pub u64);
 
-/// A text that names no job or task.
+/// A text that is no valid id of a job or task.
 #[derive(Debug, Clone, PartialEq, Eq, Display, Error)]
 #[display("'{text}' is no name of a job or task; a job has 16 lower-case hexadecimal digits")]
-pub struct BadName {
-    /// The text.
+pub struct InvalidId {
+    /// The start of the text, at most 64 characters.
     text: String,
 }
 
-impl BadName {
+impl InvalidId {
     pub(crate) fn of(text: &str) -> Self {
         Self { text: text.chars().take(64).collect() }
     }
 }
 
 impl JobId {
-    /// A number that spreads jobs evenly over cells.
+    /// A 32-bit hash that spreads jobs evenly over cells.
     pub fn spread(self) -> u64 {
-        // Fibonacci hashing: clients may choose rising numbers.
+        // Fibonacci hashing, because clients may choose consecutive ids.
         self.0.wrapping_mul(0x9e37_79b9_7f4a_7c15) >> 32
     }
 }
@@ -42,27 +42,27 @@
 }
 
 impl FromStr for JobId {
-    type Err = BadName;
+    type Err = InvalidId;
 
-    fn from_str(text: &str) -> Result<Self, BadName> {
-        let plain = text.bytes().all(|b| matches!(b, b'0'..=b'9' | b'a'..=b'f'));
-        if text.len() != DIGITS || !plain {
-            return Err(BadName::of(text));
+    fn from_str(text: &str) -> Result<Self, InvalidId> {
+        let hex = text.bytes().all(|b| matches!(b, b'0'..=b'9' | b'a'..=b'f'));
+        if text.len() != DIGITS || !hex {
+            return Err(InvalidId::of(text));
         }
-        u64::from_str_radix(text, 16).map(JobId).map_err(|_| BadName::of(text))
+        u64::from_str_radix(text, 16).map(JobId).map_err(|_| InvalidId::of(text))
     }
 }
 
-/// One task of a job.
+/// The id of a task.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct TaskId {
     /// The job.
     pub job: JobId,
-    /// Which repetition of the job, from 0.
+    /// The repetition of the job, from 0.
     pub round: u32,
-    /// Which step of the job, from 0.
+    /// The step of the job, from 0.
     pub step: u16,
-    /// Which task of the step, from 0.
+    /// The task of the step, from 0.
     pub index: u16,
 }
 
@@ -73,18 +73,18 @@
 }
 
 impl FromStr for TaskId {
-    type Err = BadName;
+    type Err = InvalidId;
 
-    fn from_str(text: &str) -> Result<Self, BadName> {
+    fn from_str(text: &str) -> Result<Self, InvalidId> {
         let mut parts = text.split('.');
-        let mut next = || parts.next().ok_or_else(|| BadName::of(text));
+        let mut next = || parts.next().ok_or_else(|| InvalidId::of(text));
         let job = next()?.parse()?;
-        let round = next()?.parse().map_err(|_| BadName::of(text))?;
-        let step = next()?.parse().map_err(|_| BadName::of(text))?;
-        let index = next()?.parse().map_err(|_| BadName::of(text))?;
+        let round = next()?.parse().map_err(|_| InvalidId::of(text))?;
+        let step = next()?.parse().map_err(|_| InvalidId::of(text))?;
+        let index = next()?.parse().map_err(|_| InvalidId::of(text))?;
         match parts.next() {
             None => Ok(Self { job, round, step, index }),
-            Some(_) => Err(BadName::of(text)),
+            Some(_) => Err(InvalidId::of(text)),
         }
     }
 }
--- a/crates/job/src/load.rs
+++ b/crates/job/src/load.rs
@@ -1,38 +1,38 @@
-//! How much of a cell lasting tasks have taken, and what is free there.
+//! The load of a cell by long-running tasks and its free room, by which cells choose where to transfer tasks.
 
 use serde::{Deserialize, Serialize};
 
 use myrtle_base::Room;
 
-/// How much of a cell lasting tasks have taken, in thousandths of a core.
+/// The load of a cell by long-running tasks, in thousandths of a core, and its free room.
 #[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize)]
 pub struct Load {
-    /// What the tasks ask for, whether they run or wait.
+    /// The claims of running and waiting long-running tasks.
     pub claimed: f64,
-    /// What the workers have that are listed, not silent and not about to leave.
+    /// The capacity of the listed workers that are neither silent nor about to leave.
     pub size: f64,
-    /// What is free on the workers that have most, for each service.
+    /// The workers with the most free room, for each service.
     pub free: Vec<Free>,
-    /// The same for tasks that ran before: what waits and never ran has to leave them that room.
+    /// The same for tasks that ran before; waiting tasks that never ran must leave them this room.
     pub again: Vec<Free>,
-    /// The same once short tasks that should end soon have ended: a cell keeps that room for tasks that ran before.
+    /// The same after the expected end of short tasks; a cell reserves this room for tasks that ran before.
     pub soon: Vec<Free>,
 }
 
-/// What is free on one worker.
+/// The free room of one worker.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Free {
     /// The service whose tasks the worker runs.
     pub service: String,
-    /// What is free there.
+    /// The free room.
     pub room: Room,
 }
 
 impl Load {
-    /// How many workers of a service are told of: about what one cell hands on between two questions.
+    /// The most workers listed for a service: about the number of tasks that a cell transfers between two queries.
     pub const WORKERS: usize = 16;
 
-    /// The share that is taken once `more` is asked for as well.
+    /// The share of the capacity that is claimed after adding `more`, in thousandths of a core.
     pub fn share(&self, more: f64) -> f64 {
         (self.claimed + more) / self.size.max(1.0)
     }
--- a/crates/job/src/progress.rs
+++ b/crates/job/src/progress.rs
@@ -1,35 +1,35 @@
-//! How far a job has come.
+//! The progress of a job.
 
 use std::collections::BTreeMap;
 
 use derive_more::Display;
 use serde::{Deserialize, Serialize};
 
-use crate::{Allowance, Crashes, JobSpec, PartId, RecordError, Step, Task, TaskId, decode, former};
+use crate::{Allowance, Crashes, JobSpec, PartId, RecordError, Step, Task, TaskId, decode, legacy};
 
-/// What clients are told of a job.
+/// The state of a job, as clients see it.
 #[derive(Debug, Default, Clone, Copy, PartialEq, Eq, Hash, Display, Serialize, Deserialize)]
 pub enum State {
-    /// No task has begun.
+    /// No task has started.
     #[default]
     #[display("queued")]
     Queued,
-    /// Some task has begun.
+    /// Some task has started.
     #[display("running")]
     Running,
-    /// Every task has ended well.
+    /// Every task has succeeded.
     #[display("completed")]
     Completed,
-    /// A task failed as often as the queue allows.
+    /// A task failed as often as its queue permits.
     #[display("failed")]
     Failed,
-    /// The client took it back.
+    /// The client cancelled it.
     #[display("cancelled")]
     Cancelled,
 }
 
 impl State {
-    /// Whether nothing more will be started.
+    /// Whether no task will be started any more.
     pub fn over(self) -> bool {
         matches!(self, State::Completed | State::Failed | State::Cancelled)
     }
@@ -38,17 +38,17 @@
 /// One repetition of the steps.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Round {
-    /// The steps by number.
+    /// The steps by index.
     pub steps: Vec<Step>,
 }
 
 impl Round {
-    /// A repetition that has not begun.
+    /// A repetition none of whose tasks has started.
     pub fn fresh(spec: &JobSpec) -> Self {
         Self { steps: spec.steps.iter().map(|s| Step::fresh(s.count)).collect() }
     }
 
-    /// Whether the step's turn has come.
+    /// Whether all steps that the step depends on are done.
     pub fn ready(&self, spec: &JobSpec, step: usize) -> bool {
         spec.steps[step].after.iter().all(|&a| self.steps[usize::from(a)].done())
     }
@@ -59,92 +59,92 @@
     }
 }
 
-/// That another cell looks after a job.
+/// The transfer of a whole job to another cell.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Moved {
-    /// The cell that does.
+    /// The receiving cell.
     pub to: u32,
-    /// Whether the job is surely in that cell's log.
+    /// Whether the receiving cell's log is confirmed to hold the job.
     pub delivered: bool,
 }
 
-/// Tasks that a cell has handed on to another one.
+/// An outgoing transfer of tasks.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Handed {
-    /// The cell that looks after them.
+    /// The receiving cell.
     pub to: u32,
     /// The tasks.
     pub tasks: Vec<TaskId>,
-    /// Counts what was handed on and taken over of the job in this cell, in turn.
+    /// The position among this cell's outgoing and incoming transfers of the job.
     pub turn: u32,
-    /// Whether they are surely in that cell's log.
+    /// Whether the receiving cell's log is confirmed to hold them.
     pub delivered: bool,
-    /// Whether that cell has surely been told that the job is over.
+    /// Whether the receiving cell's log is confirmed to hold the recall.
     pub recalled: bool,
-    /// How many tasks of each step that cell may have away in place of this one.
+    /// The disruption budgets that went to the receiving cell.
     pub allowances: Vec<Allowance>,
 }
 
-/// Tasks that a cell has taken over from another one.
+/// An incoming transfer of tasks.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Taken {
-    /// What the other cell calls them.
+    /// The transfer's id, chosen by the sending cell.
     pub part: PartId,
     /// The tasks.
     pub tasks: Vec<TaskId>,
-    /// Counts what was handed on and taken over of the job in this cell, in turn.
+    /// The position among this cell's outgoing and incoming transfers of the job.
     pub turn: u32,
-    /// How many tasks of each step this cell may have away in place of the other one.
+    /// The disruption budgets that came from the sending cell.
     pub allowances: Vec<Allowance>,
 }
 
-/// What the owner of a cell keeps of a job.
+/// The progress of a job, as the owner of a cell stores it.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Progress {
-    /// What clients are told.
+    /// The state that clients see.
     pub state: State,
-    /// Repetitions that have begun and are not done.
+    /// Repetitions that have started and are not done.
     pub rounds: BTreeMap<u32, Round>,
-    /// The next repetition to begin.
+    /// The next repetition to start.
     pub next: u32,
-    /// When the job was over, in milliseconds since 1970; 0 before that.
+    /// When the job ended, in milliseconds since 1970; 0 before that.
     pub ended: u64,
-    /// The cell that looks after the job in place of its home, if one does.
+    /// The transfer of the whole job out of its home cell, if there was one.
     pub moved: Option<Moved>,
-    /// Tasks that were handed on to other cells, by the numbers of the parts.
+    /// Outgoing transfers of tasks, indexed by their numbers.
     pub handed: Vec<Handed>,
-    /// Tasks that were taken over from other cells.
+    /// Incoming transfers of tasks.
     pub taken: Vec<Taken>,
-    /// Whether the cell looks after tasks of the job only that it has taken over.
+    /// Whether the cell has only tasks of the job from incoming transfers.
     pub guest: bool,
-    /// Tasks under which workers were lost.
+    /// The worker losses under each task.
     pub crashes: BTreeMap<TaskId, Crashes>,
 }
 
 impl Progress {
-    /// Reads a record, also one that was written in a former layout.
+    /// Reads a record in the current or an earlier layout.
     ///
     /// # Errors
     ///
-    /// The bytes are no progress in any layout.
+    /// The bytes are no progress in any layout; the error is that of the current one.
     pub fn read(bytes: &[u8]) -> Result<Self, RecordError> {
-        decode(bytes).or_else(|e| former::read(bytes).ok_or(e))
+        decode(bytes).or_else(|e| legacy::read(bytes).ok_or(e))
     }
 
-    /// Whether the record can be one of a job of this kind; one of another writer may name steps and tasks
-    /// that the job has not.
+    /// Whether the record matches the job's specification; a record of another writer may name steps and tasks
+    /// that the job doesn't have.
     pub fn fits(&self, spec: &JobSpec) -> bool {
-        let whole = |round: &Round| {
+        let complete = |round: &Round| {
             let steps = round.steps.iter().zip(&spec.steps);
             round.steps.len() == spec.steps.len()
                 && steps.clone().all(|(step, s)| step.tasks.len() == usize::from(s.count))
         };
         let handed = self.handed.iter().flat_map(|h| &h.tasks);
         let taken = self.taken.iter().flat_map(|t| &t.tasks);
-        self.rounds.values().all(whole) && handed.chain(taken).all(|task| spec.has(*task))
+        self.rounds.values().all(complete) && handed.chain(taken).all(|task| spec.has(*task))
     }
 
-    /// Whether another cell looks after a task; what came last of it counts.
+    /// Whether a task is transferred to another cell; the newest of its transfers counts.
     pub fn away(&self, id: TaskId) -> bool {
         let handed = self.handed.iter().filter(|h| h.tasks.contains(&id)).map(|h| h.turn).max();
         let taken = self.taken.iter().filter(|t| t.tasks.contains(&id)).map(|t| t.turn).max();
@@ -154,18 +154,18 @@
         }
     }
 
-    /// Whether a task has crashed too many workers to be started again.
+    /// Whether a task is given up after too many worker losses.
     pub fn given_up(&self, id: TaskId) -> bool {
         self.crashes.get(&id).is_some_and(Crashes::too_many)
     }
 
-    /// Whether other cells look after all that there is of the job.
+    /// Whether all tasks of the job are in other cells.
     pub fn elsewhere(&self) -> bool {
         (self.guest || self.moved.is_some()) && self.taken.is_empty()
     }
 
-    /// How many tasks of a step this cell may have away, of the `most` that the step allows in all
-    /// cells: what a cell hands on with tasks is no longer its own.
+    /// This cell's share of a step's disruption budget, of which `most` is the total over all cells; the shares
+    /// that went out with transfers are subtracted.
     pub fn allowance(&self, step: u16, most: u16) -> u16 {
         let sum = |allowances: &[Allowance]| -> u16 {
             allowances.iter().filter(|a| a.step == step).map(|a| a.most).sum()
@@ -176,34 +176,34 @@
         (own + taken).saturating_sub(handed)
     }
 
-    /// The turn of what is handed on or taken over next.
+    /// The position of the next transfer among those of the job.
     pub fn turn(&self) -> u32 {
         (self.handed.len() + self.taken.len()) as u32
     }
 
-    /// What was handed on under a name.
+    /// The outgoing transfer with an id.
     pub fn handed(&self, part: PartId) -> Option<&Handed> {
         self.handed.get(part.number as usize)
     }
 
-    /// The same, to change it.
+    /// The outgoing transfer with an id, mutable.
     pub fn handed_mut(&mut self, part: PartId) -> Option<&mut Handed> {
         self.handed.get_mut(part.number as usize)
     }
 
-    /// The task, if its repetition is under way.
+    /// The task, if its repetition is in progress.
     pub fn task(&self, id: TaskId) -> Option<&Task> {
         let round = self.rounds.get(&id.round)?;
         round.steps.get(usize::from(id.step))?.tasks.get(usize::from(id.index))
     }
 
-    /// The task, to change it.
+    /// The task, mutable, if its repetition is in progress.
     pub fn task_mut(&mut self, id: TaskId) -> Option<&mut Task> {
         let round = self.rounds.get_mut(&id.round)?;
         round.steps.get_mut(usize::from(id.step))?.tasks.get_mut(usize::from(id.index))
     }
 
-    /// Every task of the repetitions that are under way, with its name left to the caller.
+    /// Every task of the repetitions in progress, with its repetition, step and index.
     pub fn tasks(&self) -> impl Iterator<Item = (u32, u16, u16, &Task)> {
         self.rounds.iter().flat_map(|(&round, r)| {
             r.steps.iter().enumerate().flat_map(move |(step, s)| {
@@ -213,7 +213,7 @@
         })
     }
 
-    /// Whether some run may be going on.
+    /// Whether the job has an active run.
     pub fn live(&self) -> bool {
         self.tasks().any(|(.., t)| !t.live.is_empty())
     }
--- a/crates/job/src/record.rs
+++ b/crates/job/src/record.rs
@@ -1,4 +1,4 @@
-//! What is written of a job, and how it is read back.
+//! The encoding of job records.
 
 use std::io::{Read, Write};
 
@@ -11,77 +11,77 @@
 
 use crate::{JobSpec, Policy};
 
-/// The version of the records; a reader refuses others than this and [`PACKED`].
+/// The version of uncompressed records; a reader refuses versions other than this and [`COMPRESSED`].
 const VERSION: u8 = 1;
 
-/// The version of records that are compressed.
-const PACKED: u8 = 2;
+/// The version of compressed records.
+const COMPRESSED: u8 = 2;
 
-/// The largest record, in bytes once it is unpacked: many times what the store takes in one call.
-const LARGEST: u64 = 64 << 20;
+/// The largest decompressed record, in bytes; many times the store's limit for one call.
+const MAX_BYTES: u64 = 64 << 20;
 
 /// An accepted job.
 #[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize)]
 pub struct Submission {
-    /// What the queue's configuration said when the job was taken.
+    /// The queue's policy at the time of acceptance.
     pub policy: Policy,
-    /// What is to be run.
+    /// The job's specification.
     pub spec: JobSpec,
-    /// When the job came, in milliseconds since 1970 by the clock of the host that took it.
+    /// When the job was accepted, in milliseconds since 1970 by the accepting host's clock.
     pub taken: u64,
 }
 
-/// A record that can't be read.
+/// Why a record can't be read.
 #[derive(Debug, Display, Error, From)]
 pub enum RecordError {
-    /// It is of another version.
+    /// The version is unknown.
     #[display("the record has version {_0}; this program reads versions 1 and 2")]
     #[from(ignore)]
     Version(#[error(not(source))] u8),
-    /// It is empty.
+    /// The record is empty.
     #[display("the record is empty")]
     #[from(ignore)]
     Empty,
-    /// It can't be unpacked, or would be too large.
-    #[display("the record can't be unpacked: {_0}")]
-    Torn(std::io::Error),
-    /// Its bytes do not make sense.
-    #[display("the record can't be read: {_0}")]
-    Broken(postcard::Error),
+    /// Decompression failed.
+    #[display("the record can't be decompressed: {_0}")]
+    Compression(std::io::Error),
+    /// The bytes are no value of the expected type.
+    #[display("the record can't be decoded: {_0}")]
+    Encoding(postcard::Error),
 }
 
-/// Bytes of a record.
+/// Encodes a record.
 pub fn encode(value: &impl Serialize) -> Vec<u8> {
-    let start = vec![VERSION];
-    postcard::to_extend(value, start).expect("memory holds a record")
+    let prefix = vec![VERSION];
+    postcard::to_extend(value, prefix).expect("memory holds a record")
 }
 
-/// Bytes of a record that says much the same many times over, as the progress of a job of many tasks does.
+/// Encodes a record with compression, unless that makes it longer.
 ///
-/// Load pattern: a job of 80 tasks is written anew with each start and each end, with the names of the workers.
+/// Load pattern: each start and each end of a task rewrites the record of its job, with the names of all workers.
 pub fn encode_packed(value: &impl Serialize) -> Vec<u8> {
     let plain = encode(value);
-    let mut packed = DeflateEncoder::new(vec![PACKED], Compression::default());
-    let written = packed.write_all(&plain[1..]).and_then(|()| packed.finish());
-    written.ok().filter(|packed| packed.len() < plain.len()).unwrap_or(plain)
+    let mut compressed = DeflateEncoder::new(vec![COMPRESSED], Compression::default());
+    let finished = compressed.write_all(&plain[1..]).and_then(|()| compressed.finish());
+    finished.ok().filter(|bytes| bytes.len() < plain.len()).unwrap_or(plain)
 }
 
-/// Reads a record back.
+/// Decodes a record.
 ///
 /// # Errors
 ///
-/// It is empty, of another version, can't be unpacked, or is no such value.
+/// The record is empty, has an unknown version, can't be decompressed, or is no such value.
 pub fn decode<T: DeserializeOwned>(bytes: &[u8]) -> Result<T, RecordError> {
     match bytes {
         [VERSION, rest @ ..] => Ok(postcard::from_bytes(rest)?),
-        [PACKED, rest @ ..] => Ok(postcard::from_bytes(&unpack(rest)?)?),
+        [COMPRESSED, rest @ ..] => Ok(postcard::from_bytes(&decompress(rest)?)?),
         [other, ..] => Err(RecordError::Version(*other)),
         [] => Err(RecordError::Empty),
     }
 }
 
-fn unpack(packed: &[u8]) -> Result<Vec<u8>, std::io::Error> {
+fn decompress(compressed: &[u8]) -> Result<Vec<u8>, std::io::Error> {
     let mut plain = Vec::new();
-    DeflateDecoder::new(packed).take(LARGEST).read_to_end(&mut plain)?;
+    DeflateDecoder::new(compressed).take(MAX_BYTES).read_to_end(&mut plain)?;
     Ok(plain)
 }
--- a/crates/job/src/spec.rs
+++ b/crates/job/src/spec.rs
@@ -1,4 +1,4 @@
-//! What a client asks for.
+//! Job specifications and queue policies.
 
 use std::sync::Arc;
 
@@ -8,25 +8,25 @@
 
 use crate::TaskId;
 
-/// A job as it was handed in.
+/// A job as submitted.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct JobSpec {
-    /// Passed on to every worker as it is.
+    /// Passed to every worker unchanged.
     pub body: Arc<str>,
-    /// The steps; later ones may wait for earlier ones.
+    /// The steps; a step may depend on earlier ones.
     pub steps: Vec<StepSpec>,
-    /// When the steps run more than once.
+    /// The schedule, if the steps run more than once.
     pub repeat: Option<Repeat>,
 }
 
-/// The times of a job that repeats.
+/// The schedule of a repeated job.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Repeat {
     /// When the first repetition is due, in milliseconds since 1970.
     pub first: u64,
-    /// Milliseconds between two of them.
+    /// Milliseconds between the due times of two repetitions.
     pub every: u64,
-    /// How many there are.
+    /// The number of repetitions.
     pub count: u32,
 }
 
@@ -37,94 +37,93 @@
     }
 }
 
-/// Tasks of one kind.
+/// A step: tasks with the same requirements.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct StepSpec {
-    /// How many tasks there are.
+    /// The number of tasks.
     pub count: u16,
-    /// What one task takes of a worker.
+    /// The room that one task needs.
     pub room: Room,
-    /// A rough guess of a task's time, in milliseconds.
+    /// The client's estimate of a task's run time, in milliseconds.
     pub estimate: u64,
-    /// The steps that have to be done first.
+    /// The indices of the steps that have to be done first.
     pub after: Vec<u16>,
-    /// Whether the tasks only work together.
+    /// Whether the tasks are a gang, which has to run all at once.
     pub gang: bool,
-    /// Whether the tasks slow each other down across racks.
+    /// Whether the tasks slow down when they run on different racks.
     pub same_rack: bool,
-    /// A label that the worker must have.
+    /// A label that the workers must have.
     pub requires: Option<String>,
-    /// The rack where the data lies.
+    /// The rack that holds the tasks' data.
     pub rack: Option<String>,
-    /// How many tasks of the step one worker may hold; 0 is any number.
+    /// The most tasks of the step on one worker; 0 for no limit.
     pub spread: u16,
-    /// Whether copies of a task may run side by side.
+    /// Whether a task may have speculative runs.
     pub copies: bool,
-    /// Whether the tasks go on until the job is cancelled.
+    /// Whether the tasks are long-running: they run until the job is cancelled.
     pub lasting: bool,
-    /// Whether a task saves checkpoints.
+    /// Whether the tasks save checkpoints.
     pub saves: bool,
-    /// What the tasks run; tasks of one image behave alike.
+    /// The image that the tasks run; interference is learned for each image.
     pub image: Option<Arc<str>>,
-    /// The tail latency that a serving task should keep, in milliseconds.
+    /// The target of a serving task's tail latency, in milliseconds.
     pub target: Option<u32>,
-    /// Whether the tasks only take processors that others leave unused.
+    /// Whether the tasks are fillers, which use only processors that others leave idle.
     pub filler: bool,
-    /// How many tasks of a lasting step may be away through the system's doing.
+    /// The disruption budget of a long-running step.
     pub may_miss: Option<u16>,
 }
 
 impl StepSpec {
-    /// What a task counts against a worker's room.
+    /// The room that a task claims on a worker; a filler claims no processors.
     pub fn claim(&self) -> Room {
         if self.filler { Room { cpu: 0, ..self.room } } else { self.room }
     }
 
-    /// The work of one task, in thousandths of a core for a millisecond.
+    /// The estimated work of one task, in thousandths of a core times milliseconds.
     pub fn work(&self) -> f64 {
         f64::from(self.room.cpu) * self.estimate as f64
     }
 
-    /// Whether the tasks serve users of their own.
+    /// Whether the tasks serve requests with a target latency.
     pub fn serves(&self) -> bool {
         self.target.is_some()
     }
 }
 
-/// What the configuration says of the queue that took a job.
+/// The configuration of the queue that accepted a job.
 #[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize)]
 pub struct Policy {
     /// The queue's name.
     pub queue: String,
     /// The service whose workers run the tasks.
     pub service: String,
-    /// 0 goes first.
+    /// The priority; 0 is the highest.
     pub priority: u32,
-    /// How many runs of a task may fail.
+    /// The number of failed runs at which a task fails.
     pub attempts: u32,
-    /// The latency objective as a multiple of the job's longest chain of work.
+    /// The latency objective as a multiple of the job's critical path.
     pub stretch: f64,
-    /// What the objective allows beyond that, in milliseconds.
+    /// The time added to that objective, in milliseconds.
     pub slack: u64,
-    /// How long a worker's ticket has to be asked for, if the queue needs tickets.
+    /// The times of tickets, if the queue needs them.
     pub advice: Option<Advice>,
 }
 
-/// How a queue's tickets are given out.
+/// The times of a queue's tickets.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Advice {
-    /// Milliseconds that each call takes.
+    /// The duration of a ticket request, in milliseconds.
     pub base: u64,
-    /// Milliseconds more for each worker named.
+    /// The duration that each worker in the request adds, in milliseconds.
     pub each: u64,
-    /// Milliseconds that a ticket holds.
+    /// The validity of a ticket, in milliseconds.
     pub valid: u64,
 }
 
 impl JobSpec {
-    /// The longest chain of estimates from the steps in `from` on, in milliseconds.
-    ///
-    /// `done` tells whether a step has ended; such steps count nothing.
+    /// The length of the critical path by the steps' estimates, in milliseconds; steps for which `done` is true
+    /// count as 0.
     pub fn chain(&self, done: impl Fn(usize) -> bool) -> u64 {
         let mut ends = vec![0u64; self.steps.len()];
         for (i, step) in self.steps.iter().enumerate() {
@@ -134,23 +133,23 @@
         ends.into_iter().max().unwrap_or(0)
     }
 
-    /// Whether there is such a task.
+    /// Whether the job has such a task.
     pub fn has(&self, task: TaskId) -> bool {
         let step = self.steps.get(usize::from(task.step));
         step.is_some_and(|s| task.index < s.count) && task.round < self.rounds().max(1)
     }
 
-    /// How often the steps run.
+    /// The number of repetitions, 1 for a job that runs once.
     pub fn rounds(&self) -> u32 {
         self.repeat.map_or(1, |r| r.count)
     }
 
-    /// The work of one repetition, in thousandths of a core for a millisecond.
+    /// The estimated work of one repetition, in thousandths of a core times milliseconds.
     pub fn work(&self) -> f64 {
         self.steps.iter().map(|s| f64::from(s.count) * s.work()).sum()
     }
 
-    /// Whether some tasks go on until the job is cancelled.
+    /// Whether some step is long-running.
     pub fn lasts(&self) -> bool {
         self.steps.iter().any(|s| s.lasting)
     }
--- a/crates/job/src/task.rs
+++ b/crates/job/src/task.rs
@@ -7,34 +7,34 @@
 /// One start of a task on a worker.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Run {
-    /// Its number; later runs of the task have higher ones.
+    /// The run's number, higher than those of the task's earlier runs.
     pub number: u32,
-    /// The worker that was told to start it.
+    /// The worker that was ordered to start it.
     pub worker: Incarnation,
 }
 
-/// One task: how often it ran and where it may be running.
+/// The runs of one task.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Task {
-    /// Whether a run has ended well.
+    /// Whether a run has succeeded.
     pub done: bool,
-    /// The highest run number given out.
+    /// The highest assigned run number.
     pub last: u32,
-    /// The runs that have failed; a worker may tell of an end to several owners.
+    /// The numbers of failed runs, as a worker may report one end to several owners.
     pub failed: Vec<u32>,
-    /// Runs that may be going on.
+    /// The active runs.
     pub live: Vec<Run>,
     /// The newest checkpoint, empty if there is none.
     pub saved: String,
 }
 
 impl Task {
-    /// Whether it has to be started.
+    /// Whether the task waits to be started.
     pub fn waits(&self) -> bool {
         !self.done && self.live.is_empty()
     }
 
-    /// Counts a run as failed, once; false if it was counted before.
+    /// Adds a failed run; false if it was already counted.
     pub fn fail(&mut self, number: u32) -> bool {
         let first = !self.failed.contains(&number);
         if first {
@@ -43,12 +43,12 @@
         first
     }
 
-    /// The run of this number, if it may be going on.
+    /// The active run with this number.
     pub fn run(&self, number: u32) -> Option<&Run> {
         self.live.iter().find(|r| r.number == number)
     }
 
-    /// Takes a run off, true if it was there.
+    /// Removes an active run; false if there is none with this number.
     pub fn drop_run(&mut self, number: u32) -> bool {
         let before = self.live.len();
         self.live.retain(|r| r.number != number);
@@ -61,12 +61,12 @@
 pub struct Step {
     /// The tasks by index.
     pub tasks: Vec<Task>,
-    /// The runs of the whole step as a gang that have failed.
+    /// The numbers of failed runs of the step as a gang.
     pub failed: Vec<u32>,
 }
 
 impl Step {
-    /// A step none of whose tasks has begun.
+    /// A step none of whose tasks has started.
     pub fn fresh(count: u16) -> Self {
         Self { tasks: vec![Task::default(); usize::from(count)], failed: Vec::new() }
     }
--- a/crates/job/src/worker.rs
+++ b/crates/job/src/worker.rs
@@ -1,4 +1,4 @@
-//! What workers say of themselves and of the runs on them.
+//! Worker descriptions, replies and run reports.
 
 use std::net::SocketAddr;
 
@@ -9,63 +9,62 @@
 
 use crate::{Incarnation, TaskId};
 
-/// A worker's own description.
+/// A worker's entry in the platform's list.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Listing {
     /// The pool that it belongs to.
     pub service: String,
-    /// Where it takes orders.
+    /// The address for orders.
     pub address: SocketAddr,
     /// Its data centre.
     pub data_centre: String,
     /// Whether it is about to leave.
     pub draining: bool,
-    /// The least time until it leaves, in milliseconds, if it is about to.
+    /// The minimum time until it leaves, in milliseconds, if it is about to.
     pub remaining: Option<u64>,
-    /// What it has.
+    /// The room of the worker.
     pub room: Room,
     /// Its kind and its rack.
     pub labels: Vec<String>,
     /// The machine that it runs on.
     pub machine: Option<String>,
-    /// Where the list holds it; of two lives at one address the later one has the higher offset.
+    /// The offset of the list entry; of two incarnations at one address the later one has the higher offset.
     pub written: u64,
-    /// How much longer it is slow from its start, in milliseconds, when this was written; not kept in the log.
+    /// The remaining warm-up time in milliseconds at the time of the entry; not stored in the log.
     #[serde(skip)]
     pub cold: u64,
-    /// When the worker started, in milliseconds since 1970 by its own host; 0 if it does not say; not kept in
-    /// the log.
+    /// The start time in milliseconds since 1970 by the worker's host clock, 0 if unknown; not stored in the log.
     #[serde(skip)]
     pub start: u64,
 }
 
-/// What a worker told of an order.
+/// A worker's reply to an order.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Display)]
 pub enum Told {
-    /// It was done, also when it had been done before.
+    /// The order is carried out, now or before.
     #[display("done")]
     Done,
-    /// A higher fencing token was seen.
+    /// The worker has seen a higher fencing token.
     #[display("refused: a later owner gave orders")]
     Fenced,
-    /// This run or a later one has been there.
+    /// The worker already had this run or a later one of the task.
     #[display("refused: the run is old")]
     Old,
-    /// The lease had ended on arrival.
+    /// The lease ended before the order arrived.
     #[display("refused: the lease had ended")]
     Late,
-    /// There is no room.
+    /// The worker has too little free room.
     #[display("refused: no room")]
     Full,
-    /// The ticket does not hold.
+    /// The ticket is invalid or has expired.
     #[display("refused: the ticket does not hold")]
     Ticket,
-    /// The order made no sense to the worker.
+    /// The worker can't parse the order.
     #[display("refused: not understood")]
     Bad,
 }
 
-/// A run that is going on.
+/// A run in progress.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Running {
     /// The task.
@@ -74,16 +73,16 @@
     pub run: u32,
     /// The newest checkpoint.
     pub saved: String,
-    /// How much of the work is done; 100 for a lasting task that is at work.
+    /// The progress in percent; 100 for a long-running task that is at work.
     pub percent: f64,
-    /// The tail latency in milliseconds of a task that serves, else thousandths of a core in use.
+    /// The tail latency of a serving task in milliseconds, otherwise the used thousandths of a core.
     pub figure: Option<f64>,
 }
 
-/// A run that has ended.
+/// The end of a run, as its worker reports it.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Ended {
-    /// Rises within a life of the worker.
+    /// Increases with each end within a worker's incarnation.
     pub number: u64,
     /// The task.
     pub task: TaskId,
@@ -95,47 +94,47 @@
     pub saved: String,
 }
 
-/// The end of a run, and where it was.
+/// The end of a run with its worker.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct RunEnd {
-    /// The worker.
+    /// The worker's incarnation.
     pub life: Incarnation,
-    /// What it said of the end.
+    /// The worker's report.
     pub ended: Ended,
 }
 
 /// How a run ended.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, Display, Serialize, Deserialize)]
 pub enum How {
-    /// Its work is done.
+    /// It succeeded.
     #[display("done")]
     Done,
-    /// Through its own fault or the worker's.
+    /// It failed, through the task's or the worker's fault.
     #[display("failed")]
     Failed,
-    /// It was told to.
+    /// It was ordered to stop.
     #[display("stopped")]
     Stopped,
     /// Its lease ended.
     #[display("lapsed")]
     Lapsed,
-    /// Another task of its gang ended.
+    /// Another run of its gang ended.
     #[display("broken")]
     Broken,
-    /// The other tasks of its gang did not come.
+    /// Not all runs of its gang started in time.
     #[display("alone")]
     Alone,
 }
 
-/// Everything that a worker holds.
+/// The runs on a worker and the ends not yet acknowledged.
 #[derive(Debug, Clone, Default, PartialEq)]
 pub struct Held {
-    /// When the worker started, in milliseconds since 1970 by its own host; 0 if it does not say.
+    /// The start time in milliseconds since 1970 by the worker's host clock; 0 if unknown.
     pub start: u64,
     /// The worker's clock, in milliseconds.
     pub clock: u64,
-    /// What is going on.
+    /// The runs in progress.
     pub running: Vec<Running>,
-    /// What ended and was not noted yet.
+    /// The ends that are not acknowledged yet.
     pub ended: Vec<Ended>,
 }
