--- a/crates/job/tests/model.rs
+++ b/crates/job/tests/model.rs
@@ -1,4 +1,4 @@
-//! Names, checks, chains and records of jobs.
+//! Ids, validation, critical paths and records of jobs.
 
 use std::collections::BTreeMap;
 
@@ -21,7 +21,7 @@
 #[rstest]
 #[case::plain("5c0e7a21d94b36f8.0.1.17")]
 #[case::zeros("0000000000000000.4294967295.65535.0")]
-fn a_tasks_name_is_read_as_it_is_written(#[case] name: &str) {
+fn a_task_id_survives_a_round_trip(#[case] name: &str) {
     let id: TaskId = name.parse().unwrap();
     assert_eq!(id.to_string(), name);
 }
@@ -33,7 +33,7 @@
 #[case::many("5c0e7a21d94b36f8.0.1.17.2")]
 #[case::letters("5c0e7a21d94b36f8.0.x.17")]
 #[case::empty("")]
-fn a_bad_name_is_refused(#[case] name: &str) {
+fn an_invalid_task_id_is_refused(#[case] name: &str) {
     assert!(name.parse::<TaskId>().is_err());
 }
 
@@ -41,7 +41,7 @@
 #[case::job("5c0e7a21d94b36f8", "5c0e7a21d94b36f8")]
 #[case::part("5c0e7a21d94b36f8_3.17", "5c0e7a21d94b36f8")]
 #[case::recall("5c0e7a21d94b36f8~0.0", "5c0e7a21d94b36f8")]
-fn a_records_key_is_read_as_it_is_written(#[case] name: &str, #[case] job: &str) {
+fn a_record_key_survives_a_round_trip(#[case] name: &str, #[case] job: &str) {
     let key: Key = name.parse().unwrap();
     assert_eq!((key.to_string(), key.job().to_string()), (name.to_string(), job.to_string()));
 }
@@ -51,7 +51,7 @@
 #[case::no_cell("5c0e7a21d94b36f8_.3")]
 #[case::short("5c0e7a21d94b36_1.3")]
 #[case::letters("5c0e7a21d94b36f8~x.3")]
-fn a_bad_key_is_refused(#[case] name: &str) {
+fn an_invalid_key_is_refused(#[case] name: &str) {
     assert!(name.parse::<Key>().is_err());
 }
 
@@ -61,12 +61,12 @@
 #[case::itself(job(vec![step(1, 1, &[0])]), Fault::Order { step: 0 })]
 #[case::later(job(vec![step(1, 1, &[]), step(1, 1, &[2]), step(1, 1, &[])]), Fault::Order { step: 1 })]
 #[case::long(JobSpec { body: "x".repeat(4001).into(), ..job(vec![step(1, 1, &[])]) }, Fault::LongBody)]
-fn a_job_that_makes_no_sense_is_refused(#[case] spec: JobSpec, #[case] fault: Fault) {
+fn an_invalid_job_is_refused(#[case] spec: JobSpec, #[case] fault: Fault) {
     assert_eq!(spec.check(), Err(fault));
 }
 
 #[test]
-fn the_longest_chain_counts_what_is_not_done() {
+fn the_critical_path_counts_steps_that_are_not_done() {
     let spec = job(vec![step(1, 100, &[]), step(1, 500, &[]), step(1, 50, &[0, 1])]);
     assert_eq!(spec.chain(|_| false), 550);
     assert_eq!(spec.chain(|s| s == 1), 150);
@@ -74,7 +74,7 @@
 }
 
 #[test]
-fn a_step_is_ready_once_those_before_it_are_done() {
+fn a_step_is_ready_once_its_dependencies_are_done() {
     let spec = job(vec![step(2, 1, &[]), step(1, 1, &[0])]);
     let mut round = Round::fresh(&spec);
     assert!(round.ready(&spec, 0) && !round.ready(&spec, 1));
@@ -83,7 +83,7 @@
 }
 
 #[test]
-fn records_are_read_as_they_were_written() {
+fn records_survive_a_round_trip() {
     let spec = job(vec![step(3, 10, &[])]);
     let submission = Submission { spec: spec.clone(), taken: 7, ..Submission::default() };
     assert_eq!(decode::<Submission>(&encode(&submission)).unwrap(), submission);
@@ -95,27 +95,23 @@
     assert_eq!(decode::<Progress>(&encode(&progress)).unwrap(), progress);
 }
 
-/// Records that were written before starts were told name an id only.
+/// Records of earlier versions hold an id without a start time.
 #[rstest]
-#[case::told("i-8da5200773@1786508893645", "i-8da5200773", 1_786_508_893_645)]
-#[case::untold("i-8da5200773", "i-8da5200773", 0)]
-#[case::an_id_with_the_sign("a@b", "a@b", 0)]
-#[case::an_id_with_the_sign_and_a_start("a@b@7", "a@b", 7)]
-#[case::nothing("", "", 0)]
-fn an_incarnation_is_read_as_it_was_written(
-    #[case] text: &str,
-    #[case] id: &str,
-    #[case] start: u64,
-) {
-    let life: Incarnation = text.parse().unwrap();
-    assert_eq!((&**life.id(), life.start()), (id, start));
-    assert_eq!(life.to_string(), text);
-    assert_eq!(decode::<Incarnation>(&encode(&life)).unwrap(), life);
-    assert_eq!(decode::<Incarnation>(&encode(&text)).unwrap(), life);
+#[case::with_start("i-8da5200773@1786508893645", "i-8da5200773", 1_786_508_893_645)]
+#[case::without_start("i-8da5200773", "i-8da5200773", 0)]
+#[case::an_id_with_the_separator("a@b", "a@b", 0)]
+#[case::an_id_with_the_separator_and_a_start("a@b@7", "a@b", 7)]
+#[case::empty("", "", 0)]
+fn an_incarnation_survives_a_round_trip(#[case] text: &str, #[case] id: &str, #[case] start: u64) {
+    let incarnation: Incarnation = text.parse().unwrap();
+    assert_eq!((&**incarnation.id(), incarnation.start()), (id, start));
+    assert_eq!(incarnation.to_string(), text);
+    assert_eq!(decode::<Incarnation>(&encode(&incarnation)).unwrap(), incarnation);
+    assert_eq!(decode::<Incarnation>(&encode(&text)).unwrap(), incarnation);
 }
 
 #[test]
-fn a_workers_description_is_read_as_it_was_written() {
+fn a_worker_description_survives_a_round_trip() {
     let listing = Listing {
         service: "s12".into(),
         address: ([10, 0, 3, 21], 7001).into(),
@@ -131,14 +127,18 @@
     };
     let record = encode(&listing);
     assert_eq!(decode::<Listing>(&record).unwrap(), listing);
-    assert!(record.len() < 100, "one is written for each life of a worker: {}", record.len());
+    assert!(
+        record.len() < 100,
+        "one is written for each incarnation of a worker: {} bytes",
+        record.len()
+    );
 }
 
 #[rstest]
 #[case::empty(&[])]
 #[case::version(&[9, 1, 2])]
-#[case::torn(&[1])]
-fn a_record_that_makes_no_sense_is_an_error(#[case] bytes: &[u8]) {
+#[case::truncated(&[1])]
+fn an_invalid_record_is_an_error(#[case] bytes: &[u8]) {
     assert!(decode::<Submission>(bytes).is_err());
 }
 
@@ -151,14 +151,14 @@
 }
 
 #[test]
-fn jobs_with_rising_numbers_spread_over_cells() {
+fn jobs_with_consecutive_ids_spread_over_cells() {
     let mut cells = [0; 4];
     (0..4000).for_each(|n| cells[(JobId(n).spread() % 4) as usize] += 1);
     assert!(cells.iter().all(|&n| n > 800), "{cells:?}");
 }
 
 #[test]
-fn records_from_before_allowances_were_shared_are_read() {
+fn records_without_disruption_budgets_are_read() {
     let task = TaskId { job: JobId(7), round: 0, step: 0, index: 3 };
     let handed = vec![(4u32, vec![task], 0u32, true, false)];
     let rounds: BTreeMap<u32, Round> = BTreeMap::new();
@@ -174,8 +174,8 @@
     assert_eq!((part.tasks[0].last, part.allowances.len()), (2, 0));
 }
 
-/// The progress of a job of two steps of 40 tasks, of which the second is at work on as many workers.
-fn wide() -> Progress {
+/// The progress of a job of two steps of 40 tasks; those of the second run on 40 workers.
+fn wide_job() -> Progress {
     let spec = job(vec![step(40, 10, &[]), step(40, 10, &[0])]);
     let mut round = Round::fresh(&spec);
     round.steps[0].tasks.iter_mut().for_each(|t| (t.done, t.last) = (true, 1));
@@ -189,16 +189,16 @@
 }
 
 #[test]
-fn a_record_of_many_tasks_takes_half_of_the_bytes() {
-    let progress = wide();
-    let (plain, packed) = (encode(&progress), encode_packed(&progress));
-    assert!(2 * packed.len() <= plain.len(), "{} of {} bytes", packed.len(), plain.len());
-    assert_eq!(Progress::read(&packed).unwrap(), progress);
-    assert_eq!(Progress::read(&plain).unwrap(), progress, "records of before are read");
+fn compression_halves_a_record_of_many_tasks() {
+    let progress = wide_job();
+    let (plain, compressed) = (encode(&progress), encode_packed(&progress));
+    assert!(2 * compressed.len() <= plain.len(), "{} of {} bytes", compressed.len(), plain.len());
+    assert_eq!(Progress::read(&compressed).unwrap(), progress);
+    assert_eq!(Progress::read(&plain).unwrap(), progress, "uncompressed records are read");
 }
 
 #[test]
-fn a_short_record_is_not_made_longer() {
+fn compression_never_makes_a_record_longer() {
     let short = Moved { to: 3, delivered: true };
     assert_eq!(encode_packed(&short), encode(&short));
     let progress = Progress::default();
@@ -206,12 +206,12 @@
 }
 
 #[test]
-fn a_torn_record_is_refused() {
-    let packed = encode_packed(&wide());
-    for cut in [1, 2, packed.len() / 2, packed.len() - 1] {
-        assert!(Progress::read(&packed[..cut]).is_err(), "{cut} bytes");
+fn a_truncated_or_changed_record_is_refused() {
+    let compressed = encode_packed(&wide_job());
+    for cut in [1, 2, compressed.len() / 2, compressed.len() - 1] {
+        assert!(Progress::read(&compressed[..cut]).is_err(), "{cut} bytes");
     }
-    let mut changed = packed.clone();
+    let mut changed = compressed.clone();
     changed[1] = 0xff;
     assert!(Progress::read(&changed).is_err());
 }
