--- a/crates/base/src/silence.rs
+++ b/crates/base/src/silence.rs
@@ -66,12 +66,12 @@
     began: Instant,
     wait: Duration,
     quick: bool,
-    kept: bool,
+    pooled: bool,
 }
 
 impl Call {
     fn overdue(&self, patience: Duration, now: Instant) -> bool {
-        self.kept && now >= self.began + self.wait + patience
+        self.pooled && now >= self.began + self.wait + patience
     }
 }
 
@@ -96,10 +96,10 @@
 
     /// Adds a call whose peer was asked to delay its answer by `wait`; returns the call's number.
     ///
-    /// Only calls on pooled connections (`kept`) make connections suspect, as on a new one the peer is slow.
-    pub fn sent(&mut self, wait: Duration, quick: bool, kept: bool, now: Instant) -> u64 {
+    /// Only calls on pooled connections make connections suspect, as on a new one the peer is slow.
+    pub fn sent(&mut self, wait: Duration, quick: bool, pooled: bool, now: Instant) -> u64 {
         self.next += 1;
-        self.waiting.insert(self.next, Call { began: now, wait, quick, kept });
+        self.waiting.insert(self.next, Call { began: now, wait, quick, pooled });
         self.next
     }
 
@@ -132,7 +132,7 @@
             self.unanswered = None;
             return self.suspect(call.began, call.quick);
         }
-        if !call.kept {
+        if !call.pooled {
             return;
         }
         let unanswered = Unanswered::add(self.unanswered.take(), &call, now);
--- a/crates/cell/src/job.rs
+++ b/crates/cell/src/job.rs
@@ -6,7 +6,7 @@
 use myrtle_base::{Millis, Room};
 use myrtle_config::WhenCut;
 
-use crate::{Cell, Deny, Job, Over, State, Task, TaskId, Why};
+use crate::{Cell, Deny, Job, State, Task, TaskId, TaskResult, Why};
 
 /// How long a closed job stays in the state, in log time.
 const RETENTION: Millis = Millis(10 * 60 * 1000);
@@ -81,8 +81,17 @@
         }
         let room = spec.room;
         let (name, spec) = (name.to_string(), spec.clone());
-        let job =
-            Job { name, version, spec, room, state, open, done: 0, failed_on: Vec::new(), closed };
+        let job = Job {
+            name,
+            version,
+            spec,
+            room,
+            state,
+            open,
+            done: 0,
+            failed_workers: Vec::new(),
+            closed,
+        };
         self.jobs.insert(no, job);
         Ok(())
     }
@@ -142,11 +151,11 @@
     }
 
     /// Counts a finished task and closes its job after the last one.
-    pub(crate) fn close_task(&mut self, id: TaskId, over: Over) {
+    pub(crate) fn close_task(&mut self, id: TaskId, result: TaskResult) {
         let now = self.now;
         let Some(job) = self.jobs.get_mut(&id.job) else { return };
         job.open -= 1;
-        job.done += u32::from(over == Over::Done);
+        job.done += u32::from(result == TaskResult::Done);
         if job.open == 0 {
             job.closed = Some(now);
         }
@@ -166,10 +175,10 @@
         let Some(task) = self.tasks.get_mut(&id) else { return };
         match task.state {
             State::Pending => {
-                task.state = State::Over(Over::Cancelled);
+                task.state = State::Over(TaskResult::Cancelled);
                 task.since = now;
                 self.dequeue(id);
-                self.close_task(id, Over::Cancelled);
+                self.close_task(id, TaskResult::Cancelled);
             }
             State::Claimed(worker) | State::Running(worker) | State::Stopping(worker, _) => {
                 task.state = State::Stopping(worker, Why::Cancel);
--- a/crates/cell/src/lib.rs
+++ b/crates/cell/src/lib.rs
@@ -25,4 +25,4 @@
 pub use query::Totals;
 pub use record::{Batch, Record, Snapshot};
 pub use state::{Cell, Gate, Health, Job, Keep, Task, Usage, Worker};
-pub use task::{Over, State};
+pub use task::{State, TaskResult};
--- a/crates/cell/src/state.rs
+++ b/crates/cell/src/state.rs
@@ -68,7 +68,7 @@
     /// The number of tasks that succeeded.
     pub done: u32,
     /// The first workers, at most two, on which one of its tasks failed.
-    pub failed_on: Vec<u32>,
+    pub failed_workers: Vec<u32>,
     /// The log time of the end of its last task.
     pub closed: Option<Millis>,
 }
@@ -78,7 +78,7 @@
     ///
     /// Either the worker or the job is at fault; the next attempt on another worker shows which.
     pub fn doubtful(&self) -> Option<u32> {
-        match self.failed_on[..] {
+        match self.failed_workers[..] {
             [only] => Some(only),
             _ => None,
         }
--- a/crates/cell/src/task.rs
+++ b/crates/cell/src/task.rs
@@ -32,12 +32,12 @@
     Stopping(u32, Why),
     /// It is over.
     #[display("{_0}")]
-    Over(Over),
+    Over(TaskResult),
 }
 
 /// The final result of a task.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, Display, Serialize, Deserialize)]
-pub enum Over {
+pub enum TaskResult {
     /// It succeeded.
     #[display("done")]
     Done,
@@ -146,7 +146,7 @@
         match end {
             End::Done => {
                 self.record_success(worker);
-                self.finish(id, Over::Done);
+                self.finish(id, TaskResult::Done);
             }
             End::Failed => {
                 self.record_failure(worker, id.job);
@@ -209,7 +209,7 @@
     /// Returns a task to the pending queue, or ends it if its job is closed.
     fn resume(&mut self, id: TaskId, checkpoint: u32, previous: State) {
         if self.jobs[&id.job].state != JobState::Open {
-            return self.finish(id, Over::Cancelled);
+            return self.finish(id, TaskResult::Cancelled);
         }
         let now = self.now;
         let task = self.tasks.get_mut(&id).expect("callers checked that the task exists");
@@ -222,16 +222,16 @@
     /// Fails a task that has crashed too many workers.
     pub(crate) fn give_up(&mut self, id: TaskId, worker: u32) {
         self.release_room(id, worker, false);
-        self.finish(id, Over::Failed);
+        self.finish(id, TaskResult::Failed);
     }
 
     /// Counts a failure; the task is pending again after its backoff, or over after too many failures.
     fn fail(&mut self, id: TaskId, worker: u32) {
         if let Some(job) = self.jobs.get_mut(&id.job)
-            && job.failed_on.len() < 2
-            && !job.failed_on.contains(&worker)
+            && job.failed_workers.len() < 2
+            && !job.failed_workers.contains(&worker)
         {
-            job.failed_on.push(worker);
+            job.failed_workers.push(worker);
         }
         let limit = self.jobs[&id.job].spec.failures;
         let open = self.jobs[&id.job].state == JobState::Open;
@@ -242,10 +242,10 @@
         let backoff_ms = MIN_BACKOFF.0 << (task.failures - 1).min(16);
         task.wait = now + Millis(backoff_ms.min(MAX_BACKOFF.0));
         if !open {
-            return self.finish(id, Over::Cancelled);
+            return self.finish(id, TaskResult::Cancelled);
         }
         if task.failures >= limit {
-            return self.finish(id, Over::Failed);
+            return self.finish(id, TaskResult::Failed);
         }
         self.enqueue(id);
     }
@@ -259,12 +259,12 @@
         self.pending.insert((u32::MAX - price, id));
     }
 
-    fn finish(&mut self, id: TaskId, over: Over) {
+    fn finish(&mut self, id: TaskId, result: TaskResult) {
         let now = self.now;
         let task = self.tasks.get_mut(&id).expect("callers checked that the task exists");
-        task.state = State::Over(over);
+        task.state = State::Over(result);
         task.since = now;
         self.crashes.remove(&id);
-        self.close_task(id, over);
+        self.close_task(id, result);
     }
 }
--- a/crates/cell/tests/explore.rs
+++ b/crates/cell/tests/explore.rs
@@ -28,7 +28,7 @@
 /// The number of random walks.
 const WALKS: usize = 40_000;
 /// The number of steps in each walk.
-const LENGTH: usize = 120;
+const WALK_STEPS: usize = 120;
 
 fn report(name: &str, found: &Found) {
     println!("{name}: {} states, complete: {}", found.states, found.complete);
@@ -54,7 +54,7 @@
 #[case::cut_off(CUT, 4)]
 #[case::cut_off_again(CUT, 5)]
 fn no_long_walk_finds_a_violation(#[case] bounds: Bounds, #[case] seed: u64) {
-    let found = walk(Without::Nothing, bounds, seed, WALKS, LENGTH);
+    let found = walk(Without::Nothing, bounds, seed, WALKS, WALK_STEPS);
     report("walks with all checks", &found);
     assert_eq!(found.violation, None);
 }
@@ -67,7 +67,7 @@
 #[case::room_check(Without::RoomCheck, PAIR)]
 #[case::tombstones(Without::Tombstones, PAIR)]
 fn each_check_is_needed(#[case] without: Without, #[case] bounds: Bounds) {
-    let found = walk(without, bounds, 7, WALKS * 8, LENGTH);
+    let found = walk(without, bounds, 7, WALKS * 8, WALK_STEPS);
     report(&format!("without {without:?}"), &found);
     assert!(
         found.violation.is_some(),
--- a/crates/cell/tests/fold.rs
+++ b/crates/cell/tests/fold.rs
@@ -7,7 +7,8 @@
 
 use myrtle_base::{GUARD, LEASE, Millis};
 use myrtle_cell::{
-    Deny, End, Health, JobState, Op, Over, Record, Snapshot, State, Subject, TaskId, Unit, Why,
+    Deny, End, Health, JobState, Op, Record, Snapshot, State, Subject, TaskId, TaskResult, Unit,
+    Why,
 };
 use myrtle_config::WhenCut;
 
@@ -92,7 +93,7 @@
     assert_eq!(log.one(claim(TaskId::new(0, 1), 1, 0)), Err(Deny::State));
     assert_eq!(log.cell.tasks[&T].state, State::Stopping(0, Why::Cancel));
     log.ok(end(T, 1, End::Stopped(2)));
-    assert_eq!(log.cell.tasks[&T].state, State::Over(Over::Cancelled));
+    assert_eq!(log.cell.tasks[&T].state, State::Over(TaskResult::Cancelled));
     assert_eq!(log.cell.jobs[&0].open, 0);
 });
 
@@ -115,7 +116,7 @@
         }
         log.pass(Millis(60_000));
     }
-    assert_eq!(log.cell.tasks[&T].state, State::Over(Over::Failed));
+    assert_eq!(log.cell.tasks[&T].state, State::Over(TaskResult::Failed));
 });
 
 case!(a_failing_worker_goes_into_backoff_and_gets_one_probe, log => {
@@ -262,7 +263,7 @@
         log.ok(Op::Started { task: T, attempt });
         log.ok(worker(0, u64::from(attempt) + 1));
     }
-    assert_eq!(log.cell.tasks[&T].state, State::Over(Over::Failed));
+    assert_eq!(log.cell.tasks[&T].state, State::Over(TaskResult::Failed));
     assert_eq!(log.one(claim(T, 6, 1)), Err(Deny::State));
 });
 
--- a/crates/cell/tests/model/mod.rs
+++ b/crates/cell/tests/model/mod.rs
@@ -77,14 +77,14 @@
 struct Host {
     /// The fold of a log prefix, shared by all worlds with that prefix.
     cell: Rc<Cell>,
-    read: Millis,
+    read_at: Millis,
     promise: Promise,
 }
 
 impl Hash for Host {
     fn hash<H: Hasher>(&self, hasher: &mut H) {
         // The log and the offset determine the cell.
-        (self.cell.next, self.read, &self.promise).hash(hasher);
+        (self.cell.next, self.read_at, &self.promise).hash(hasher);
     }
 }
 
@@ -191,7 +191,7 @@
         }
         let cell = Rc::new(cell);
         let promise = Promise::new(Millis(0));
-        world.hosts = vec![Host { cell, read: now, promise }; 3];
+        world.hosts = vec![Host { cell, read_at: now, promise }; 3];
         world.workers[0].lease = now + LEASE;
         world.workers[0].running.insert(first, 1);
         world
@@ -237,9 +237,9 @@
         let now = self.now;
         let host = &mut self.hosts[host];
         let up_to_date =
-            host.read == now && host.cell.next == INITIAL_RECORDS + self.log.len() as u64;
+            host.read_at == now && host.cell.next == INITIAL_RECORDS + self.log.len() as u64;
         host.cell = folded(&host.cell, &self.log, without);
-        host.read = now;
+        host.read_at = now;
         !up_to_date
     }
 
@@ -250,7 +250,7 @@
         }
         let grant = match without {
             Without::ReadAge => Some(Grant { until: stamp + LEASE }),
-            _ => Read { sent: known.read }.grant(stamp, stamp),
+            _ => Read { sent: known.read_at }.grant(stamp, stamp),
         };
         grant.is_some_and(|grant| self.post(host, grant, bounds))
     }
--- a/crates/config/src/desired.rs
+++ b/crates/config/src/desired.rs
@@ -49,7 +49,7 @@
     pub slots: u32,
     /// The most concurrent connections to one upstream.
     pub connections: u32,
-    /// The target of the 99th percentile of its latency, which batch work must not break.
+    /// The target of its 99th percentile latency, which batch work must not make it miss.
     pub target: Span,
     /// The largest request body, in bytes; 1 MiB by default.
     #[serde(default = "default_body")]
--- a/crates/config/src/lib.rs
+++ b/crates/config/src/lib.rs
@@ -13,7 +13,7 @@
 pub use desired::{Centre, Class, Desired, Job, Party, Service, WhenCut};
 pub use diff::{Edit, diff};
 pub use fold::{Change, Config, ConfigRecord, Refusal, Scoped, Verdict};
-pub use read::{Fault, MAX_FILE, check_end, read, read_file};
+pub use read::{Fault, MAX_FILE_BYTES, check_end, read, read_file};
 pub use settings::{Announce, Platform, Settings};
 pub use token::hash_token;
 pub use unit::{Megabytes, Span};
--- a/crates/config/src/read.rs
+++ b/crates/config/src/read.rs
@@ -9,9 +9,9 @@
 use serde_saphyr::{Budget, DuplicateKeyPolicy, Options};
 
 /// The largest accepted file, in bytes.
-pub const MAX_FILE: u64 = 4 << 20;
+pub const MAX_FILE_BYTES: u64 = 4 << 20;
 
-/// The most YAML nodes of a file; an ordinary file of [`MAX_FILE`] bytes stays below it.
+/// The most YAML nodes of a file; an ordinary file of [`MAX_FILE_BYTES`] bytes stays below it.
 const MAX_NODES: usize = 400_000;
 
 /// The most YAML aliases of a file; our files need none, an expansion bomb needs many.
@@ -48,16 +48,16 @@
     }
 }
 
-/// Reads a file of at most [`MAX_FILE`] bytes; returns its value and its text.
+/// Reads a file of at most [`MAX_FILE_BYTES`] bytes; returns its value and its text.
 pub fn read_file<T: DeserializeOwned>(path: &Path) -> Result<(T, String), Fault> {
     let name = path.display().to_string();
     let io_fault =
         |e: std::io::Error| Fault::whole(&name, e.to_string(), "name a file that can be read");
     let file = File::open(path).map_err(io_fault)?;
     let mut bytes = Vec::new();
-    file.take(MAX_FILE + 1).read_to_end(&mut bytes).map_err(io_fault)?;
-    if bytes.len() as u64 > MAX_FILE {
-        let text = format!("the file is larger than {MAX_FILE} bytes");
+    file.take(MAX_FILE_BYTES + 1).read_to_end(&mut bytes).map_err(io_fault)?;
+    if bytes.len() as u64 > MAX_FILE_BYTES {
+        let text = format!("the file is larger than {MAX_FILE_BYTES} bytes");
         return Err(Fault::whole(&name, text, "split it into one file for each party"));
     }
     let text = String::from_utf8(bytes)
--- a/crates/job/src/crashes.rs
+++ b/crates/job/src/crashes.rs
@@ -9,8 +9,8 @@
 
 /// The number of worker losses under a task, whatever their cause, at which it is given up.
 ///
-/// Simultaneous losses single out no task, but without counting them a task that crashes workers long after its
-/// start can take six or seven in `crash_courses.rs`; counting them makes some sound jobs fail.
+/// Many simultaneous losses single out no task, but if they didn't count, a task that crashes workers long after
+/// its start could take six or seven in `crash_courses.rs`; counting them makes some sound jobs fail.
 const MAX_LOSSES: u8 = 5;
 
 /// The largest difference, in milliseconds, between the ages of two runs at which both losses count as the same
@@ -35,12 +35,12 @@
     pub age: u32,
     /// Whether the run was so young that this loss alone makes the task a suspect.
     pub fresh: bool,
-    /// Whether no other workers were lost at the same time.
+    /// Whether the loss is not one of many simultaneous ones.
     pub alone: bool,
 }
 
 impl Crashes {
-    /// Counts a loss; one among simultaneous losses, as in a power failure, doesn't make the task a suspect.
+    /// Counts a loss; one of many simultaneous ones, as in a power failure, doesn't make the task a suspect.
     pub fn count(&mut self, loss: Loss) {
         let similar = |last: Loss| last.age.abs_diff(loss.age) <= AGE_TOLERANCE_MS;
         let last = self.last.replace(loss);
--- a/crates/job/src/worker.rs
+++ b/crates/job/src/worker.rs
@@ -59,7 +59,7 @@
     /// The ticket is invalid or has expired.
     #[display("refused: the ticket does not hold")]
     Ticket,
-    /// The worker can't parse the order.
+    /// The worker refused the order as malformed.
     #[display("refused: not understood")]
     Bad,
 }
