--- a/crates/gate/src/admin.rs
+++ b/crates/gate/src/admin.rs
@@ -1,4 +1,4 @@
-//! What the balancer and operators ask over HTTP.
+//! Answers the HTTP requests of the balancer and of operators.
 
 use std::sync::Arc;
 
@@ -7,7 +7,7 @@
 
 use crate::tables::Tables;
 
-/// Answers one of the gate's own paths, or nothing if the path is a service's.
+/// Answers one of the gate's own paths; nothing if the path is a service's.
 pub fn handle(tables: &Arc<Tables>, path: &str, query: &str) -> Option<Answer> {
     Some(match path {
         "/healthz" => text(200, "ok\n"),
@@ -27,8 +27,8 @@
 }
 
 fn metrics(tables: &Tables) -> Answer {
-    let (held, busy, waiting) = tables.core(|cores| {
-        let sum = |f: fn(&crate::core::Core) -> u32| cores.values().map(f).sum::<u32>();
+    let (held, busy, waiting) = tables.queues(|queues| {
+        let sum = |f: fn(&crate::queue::ServiceQueue) -> u32| queues.values().map(f).sum::<u32>();
         (sum(|c| c.upstreams.held()), sum(|c| c.upstreams.busy()), sum(|c| c.waiting() as u32))
     });
     tables.meter.level("myrtle_slots", "held", i64::from(held));
@@ -52,7 +52,7 @@
         "state": format!("{:?}", tables.state()),
         "ready": tables.ready(),
         "lease_left_ms": tables.lease_left().as_millis() as u64,
-        "keeps": tables.books(|b| b.units().len()),
+        "keeps": tables.resources(|b| b.resources().len()),
         "upstreams": view.peering.upstreams.len(),
     })
 }
--- a/crates/gate/src/attempt.rs
+++ b/crates/gate/src/attempt.rs
@@ -20,23 +20,23 @@
 use crate::pool::{Connection, Outgoing};
 use crate::tables::Tables;
 
-/// How long a connection may take.
-const CONNECT: Duration = Duration::from_millis(800);
+/// How long connecting may take.
+const CONNECT_TIMEOUT: Duration = Duration::from_millis(800);
 
-/// The largest answer that is kept whole, in bytes; larger ones need a watch.
+/// The largest answer that is buffered, in bytes; larger ones need a watch.
 const MAX_ANSWER: usize = 16 << 20;
 
-/// How long an attempt that nobody waits for may hold its slot.
-const ABANDONED: Duration = Duration::from_secs(30);
+/// How long an attempt that no caller waits for may hold its slot.
+const MAX_ABANDONED: Duration = Duration::from_secs(30);
 
-/// An upstream's word that it did not run a request.
+/// Header by which an upstream says that it did not run a request.
 const NOT_RUN: &str = "myrtle-not-run";
 
-/// An upstream's word that it is leaving.
+/// Header by which an upstream announced that it is leaving.
 const LEAVING: &str = "myrtle-leaving";
 
-/// Headers that concern one connection only, and the caller's secret.
-const DROPPED: &[HeaderName] = &[
+/// Headers that are not forwarded: they concern one connection only, or hold the caller's token.
+const NOT_FORWARDED: &[HeaderName] = &[
     CONNECTION,
     TRANSFER_ENCODING,
     CONTENT_LENGTH,
@@ -50,26 +50,26 @@
 /// How an attempt ended.
 #[derive(Debug)]
 pub enum Outcome {
-    /// The upstream answered in full.
+    /// The upstream sent a complete answer.
     Answer(Response<Bytes>),
-    /// The upstream answers and goes on answering.
+    /// The upstream sent the head of an answer, whose body is streamed.
     Stream(Response<Incoming>, Slot),
-    /// The upstream was given none of it, or said that it did not run it.
+    /// The upstream received nothing of the request, or said that it did not run it.
     NotRun,
-    /// The upstream was given it and failed.
+    /// The upstream received the request and failed.
     Unknown,
 }
 
-/// What is sent.
+/// The body that is sent.
 #[derive(Debug)]
 pub enum Payload {
-    /// A body kept whole.
+    /// A buffered body, which can be sent again.
     Whole(Bytes),
-    /// A body passed on as it comes.
+    /// A streamed body.
     Stream(Incoming),
 }
 
-/// A slot in use; it is given back when this is dropped.
+/// A slot in use; given back when this is dropped.
 #[derive(Debug)]
 pub struct Slot {
     tables: Arc<Tables>,
@@ -78,7 +78,7 @@
 }
 
 impl Slot {
-    /// Takes charge of a ticket.
+    /// Wraps a ticket so that it is given back.
     pub fn new(tables: Arc<Tables>, service: &str, ticket: Ticket) -> Self {
         Self { tables, service: service.into(), ticket: Some(ticket) }
     }
@@ -93,7 +93,7 @@
         let now = self.tables.now();
         let ticket = self.ticket.take();
         let Some(ticket) = ticket else { return };
-        self.with_core(|core| core.done(ticket, now));
+        self.with_queue(|queue| queue.done(ticket, now));
     }
 
     /// Gives the slot back after a failure.
@@ -101,20 +101,20 @@
         let now = self.tables.now();
         let ticket = self.ticket.take();
         let Some(ticket) = ticket else { return };
-        self.with_core(|core| core.failed(ticket, now, fault));
+        self.with_queue(|queue| queue.failed(ticket, now, fault));
     }
 
-    fn with_core(&self, change: impl FnOnce(&mut crate::core::Core)) {
-        self.tables.with_core(&self.service, change);
+    fn with_queue(&self, change: impl FnOnce(&mut crate::queue::ServiceQueue)) {
+        self.tables.with_queue(&self.service, change);
     }
 
-    /// Where the upstream serves, and how many connections may stay idle there.
-    fn place(&self) -> Option<(SocketAddr, usize)> {
-        let no = self.ticket?.upstream;
-        self.tables.core(|cores| {
-            let core = cores.get(&self.service)?;
-            let at = core.places.get(no as usize)?.at;
-            Some((at, core.upstreams.get(no).held as usize))
+    /// The upstream's address, and how many connections to it may stay idle.
+    fn target(&self) -> Option<(SocketAddr, usize)> {
+        let number = self.ticket?.upstream;
+        self.tables.queues(|queues| {
+            let queue = queues.get(&self.service)?;
+            let at = queue.endpoints.get(number as usize)?.at;
+            Some((at, queue.upstreams.get(number).held as usize))
         })
     }
 }
@@ -123,17 +123,18 @@
     fn drop(&mut self) {
         let now = self.tables.now();
         let Some(ticket) = self.ticket.take() else { return };
-        self.with_core(|core| {
-            core.upstreams.give_back(ticket);
-            core.dispatch(now);
+        self.with_queue(|queue| {
+            queue.upstreams.give_back(ticket);
+            queue.dispatch(now);
         });
     }
 }
 
-/// Sends a request and takes in the answer; the slot is held until the upstream is through.
+/// Sends a request and reads the answer; the slot is held until the upstream has finished.
 ///
-/// Runs to its end even if nobody waits for it, since the upstream does too; but no longer than
-/// [`ABANDONED`] beyond `limit`, since a connection that went silent would hold the slot for good.
+/// Runs to its end even if no caller waits for it, since the upstream does so too, but no longer
+/// than [`MAX_ABANDONED`] beyond `limit`: a connection that went silent would otherwise hold the
+/// slot for good.
 pub async fn run(
     slot: Slot,
     head: Arc<Parts>,
@@ -141,7 +142,7 @@
     limit: Duration,
     watch: bool,
 ) -> Outcome {
-    let Some((at, idle)) = slot.place() else { return Outcome::NotRun };
+    let Some((at, idle)) = slot.target() else { return Outcome::NotRun };
     let tables = slot.tables.clone();
     let mut pooled = tables.pool(|p| p.take(at));
     let mut payload = payload;
@@ -157,25 +158,25 @@
         };
         let request = request(&head, payload);
         let number = tables.pool(|p| p.sent(at, reused));
-        let sent = timeout(limit + ABANDONED, connection.try_send_request(request)).await;
-        tables.pool(|p| p.over(at, number, matches!(sent, Ok(Ok(_)))));
+        let sent = timeout(limit + MAX_ABANDONED, connection.try_send_request(request)).await;
+        tables.pool(|p| p.ended(at, number, matches!(sent, Ok(Ok(_)))));
         let Ok(sent) = sent else {
             slot.failed(Fault::Broken);
             return Outcome::Unknown;
         };
         match sent {
-            Ok(answer) => return take_answer(slot, connection, at, idle, answer, watch).await,
+            Ok(answer) => return read_answer(slot, connection, at, idle, answer, watch).await,
             Err(mut e) => {
-                let Some(unsent) = e.take_message() else {
+                let Some(not_sent) = e.take_message() else {
                     slot.failed(Fault::Broken);
                     return Outcome::Unknown;
                 };
-                // Nothing of it was written: an idle connection had closed, try a fresh one.
+                // Nothing was written, since the idle connection had been closed: try a new one.
                 if !reused {
                     slot.failed(Fault::Broken);
                     return Outcome::NotRun;
                 }
-                payload = match unsent.into_body() {
+                payload = match not_sent.into_body() {
                     Either::Left(whole) => match whole.collect().await {
                         Ok(body) => Payload::Whole(body.to_bytes()),
                         Err(never) => match never {},
@@ -187,7 +188,7 @@
     }
 }
 
-async fn take_answer(
+async fn read_answer(
     slot: Slot,
     connection: Connection,
     at: SocketAddr,
@@ -197,7 +198,7 @@
 ) -> Outcome {
     let tables = slot.tables.clone();
     if answer.headers().contains_key(LEAVING) {
-        note_leaving(&slot);
+        mark_leaving(&slot);
     }
     if answer.status() == StatusCode::SERVICE_UNAVAILABLE && answer.headers().contains_key(NOT_RUN)
     {
@@ -207,11 +208,11 @@
     if watch {
         return Outcome::Stream(answer, slot);
     }
-    // Without a length the end of an answer looks like a cut.
+    // Without a length or chunks, a truncated answer looks like a complete one.
     let delimited = answer.body().size_hint().exact().is_some()
         || answer.headers().contains_key(TRANSFER_ENCODING);
     let (head, body) = answer.into_parts();
-    let body = timeout(ABANDONED, Limited::new(body, MAX_ANSWER).collect()).await;
+    let body = timeout(MAX_ABANDONED, Limited::new(body, MAX_ANSWER).collect()).await;
     match body {
         Ok(Ok(whole)) if delimited => {
             if connection.is_ready() {
@@ -232,10 +233,10 @@
 }
 
 async fn connect(at: SocketAddr) -> std::io::Result<Connection> {
-    let stream = timeout(CONNECT, TcpStream::connect(at)).await??;
+    let stream = timeout(CONNECT_TIMEOUT, TcpStream::connect(at)).await??;
     stream.set_nodelay(true)?;
-    let shaken = http1::handshake::<_, Outgoing>(TokioIo::new(stream)).await;
-    let (connection, driver) = shaken.map_err(std::io::Error::other)?;
+    let handshake = http1::handshake::<_, Outgoing>(TokioIo::new(stream)).await;
+    let (connection, driver) = handshake.map_err(std::io::Error::other)?;
     tokio::spawn(driver);
     Ok(connection)
 }
@@ -249,21 +250,21 @@
     *request.method_mut() = head.method.clone();
     *request.uri_mut() =
         head.uri.path_and_query().map_or("/".parse(), |p| p.as_str().parse()).unwrap_or_default();
-    *request.headers_mut() = passed(&head.headers);
+    *request.headers_mut() = forwarded_headers(&head.headers);
     request
 }
 
-/// The headers that go on to the other side.
-pub fn passed(headers: &HeaderMap) -> HeaderMap {
+/// The headers that are forwarded to the other side.
+pub fn forwarded_headers(headers: &HeaderMap) -> HeaderMap {
     let mut headers = headers.clone();
-    for name in DROPPED {
+    for name in NOT_FORWARDED {
         headers.remove(name);
     }
     headers
 }
 
-fn note_leaving(slot: &Slot) {
-    let Some(no) = slot.upstream() else { return };
-    slot.with_core(|core| core.upstreams.set_leaving(no, true));
-    slot.tables.ring.add("gate", format!("upstream {no} says that it is leaving"));
+fn mark_leaving(slot: &Slot) {
+    let Some(number) = slot.upstream() else { return };
+    slot.with_queue(|queue| queue.upstreams.set_leaving(number, true));
+    slot.tables.ring.add("gate", format!("upstream {number} announced that it is leaving"));
 }
--- a/crates/gate/src/call.rs
+++ b/crates/gate/src/call.rs
@@ -1,4 +1,4 @@
-//! A caller's request as its headers mark it.
+//! What the headers of a caller's request ask for.
 
 use std::time::Duration;
 
@@ -8,33 +8,34 @@
 
 use myrtle_base::Kind;
 
-use crate::view::{Party, View};
+use crate::view::{Customer, View};
 
-/// What marks a request; see docs/OPERATING.md.
+/// Names the class, as do the headers below; see docs/OPERATING.md.
 pub const CLASS: &str = "myrtle-class";
 /// The time that the caller allows, in milliseconds.
 pub const DEADLINE: &str = "myrtle-deadline-ms";
-/// Marks a request as safe or unsafe to repeat, against its method.
+/// States whether a request is safe to repeat, in place of its method.
 pub const REPEAT: &str = "myrtle-repeat";
-/// Marks a long-held exchange that streams both ways.
+/// Marks a long-lived request that streams both ways.
 pub const WATCH: &str = "myrtle-watch";
-/// Names the service, if there are several.
+/// Names the service; needed if there are several.
 pub const SERVICE: &str = "myrtle-service";
-/// Names the data centre whose gates keep the key.
+/// Names the data centre whose gates coordinate the key.
 pub const HOME: &str = "myrtle-home";
 /// The caller's key of an unsafe request.
 pub const KEY: &str = "idempotency-key";
 
-/// The longest deadline; a slot that outlives a gate's loan is not counted any more.
-const LONGEST: Duration = Duration::from_secs(60);
+/// The longest deadline: a slot that is used for longer than a gate's allocation lasts is no longer
+/// counted.
+const MAX_DEADLINE: Duration = Duration::from_secs(60);
 
 /// A request that may be served.
 #[derive(Debug, Clone)]
 pub struct Call {
-    /// Who pays.
-    pub party: String,
-    /// The payer's number.
-    pub number: u32,
+    /// The customer that pays.
+    pub customer: String,
+    /// The customer's number.
+    pub customer_number: u32,
     /// The class.
     pub class: String,
     /// The price of the class.
@@ -43,32 +44,32 @@
     pub limit: Duration,
     /// The service.
     pub service: String,
-    /// The largest body.
+    /// The largest allowed body, in bytes.
     pub max_body: u64,
-    /// Whether it may be run twice.
+    /// Whether it may be run more than once.
     pub safe: bool,
-    /// Whether it streams both ways without a deadline.
+    /// Whether it streams both ways, without a deadline.
     pub watch: bool,
     /// The key of an unsafe request.
     pub key: Option<Uuid>,
-    /// The data centre whose gates keep the key.
+    /// The data centre whose gates coordinate the key.
     pub home: Option<String>,
 }
 
-/// A refusal with what exactly is wrong.
-pub type Fault = (Kind, String);
+/// The kind of refusal and its exact cause.
+pub type Invalid = (Kind, String);
 
 impl Call {
-    /// Reads the marks of a request.
-    pub fn read(head: &Parts, view: &View) -> Result<Self, Fault> {
+    /// Reads and checks the headers of a request.
+    pub fn read(head: &Parts, view: &View) -> Result<Self, Invalid> {
         let headers = &head.headers;
-        let party = party(headers, view)?;
+        let customer = customer(headers, view)?;
         let class = match text(headers, CLASS)? {
             Some(class) => class,
-            None => party.classes.first().ok_or((Kind::NoClass, String::new()))?,
+            None => customer.classes.first().ok_or((Kind::NoClass, String::new()))?,
         };
-        if !party.classes.iter().any(|c| c == class) {
-            let detail = format!("party '{}' may not use the class '{class}'", party.name);
+        if !customer.classes.iter().any(|c| c == class) {
+            let detail = format!("party '{}' may not use the class '{class}'", customer.name);
             return Err((Kind::NoClass, detail));
         }
         let Some(known) = view.classes.get(class) else {
@@ -76,11 +77,11 @@
         };
         let (service, max_body) = service(headers, view)?;
         Ok(Self {
-            party: party.name.clone(),
-            number: party.number,
+            customer: customer.name.clone(),
+            customer_number: customer.number,
             class: class.into(),
             price: known.price,
-            limit: limit(headers)?.unwrap_or(known.deadline).min(LONGEST),
+            limit: limit(headers)?.unwrap_or(known.deadline).min(MAX_DEADLINE),
             service,
             max_body,
             safe: safe(head)?,
@@ -91,14 +92,14 @@
     }
 }
 
-fn party<'a>(headers: &HeaderMap, view: &'a View) -> Result<&'a Party, Fault> {
+fn customer<'a>(headers: &HeaderMap, view: &'a View) -> Result<&'a Customer, Invalid> {
     let value = headers.get(AUTHORIZATION).and_then(|v| v.to_str().ok());
     let token = value.and_then(|v| v.strip_prefix("Bearer "));
     let token = token.ok_or((Kind::NoToken, String::new()))?;
-    view.party(token.trim()).map_err(|kind| (kind, String::new()))
+    view.customer(token.trim()).map_err(|kind| (kind, String::new()))
 }
 
-fn service(headers: &HeaderMap, view: &View) -> Result<(String, u64), Fault> {
+fn service(headers: &HeaderMap, view: &View) -> Result<(String, u64), Invalid> {
     let found = match text(headers, SERVICE)? {
         Some(name) => view.services.get_key_value(name),
         None if view.services.len() == 1 => view.services.first_key_value(),
@@ -114,7 +115,7 @@
     }
 }
 
-fn limit(headers: &HeaderMap) -> Result<Option<Duration>, Fault> {
+fn limit(headers: &HeaderMap) -> Result<Option<Duration>, Invalid> {
     let Some(value) = text(headers, DEADLINE)? else { return Ok(None) };
     match value.parse::<u64>() {
         Ok(ms) if ms > 0 => Ok(Some(Duration::from_millis(ms))),
@@ -122,7 +123,7 @@
     }
 }
 
-fn safe(head: &Parts) -> Result<bool, Fault> {
+fn safe(head: &Parts) -> Result<bool, Invalid> {
     match text(&head.headers, REPEAT)? {
         None => Ok(head.method.is_safe()),
         Some("safe") => Ok(true),
@@ -131,15 +132,15 @@
     }
 }
 
-fn key(headers: &HeaderMap) -> Result<Option<Uuid>, Fault> {
+fn key(headers: &HeaderMap) -> Result<Option<Uuid>, Invalid> {
     let Some(value) = text(headers, KEY)? else { return Ok(None) };
     match Uuid::parse_str(value) {
-        Ok(key) if myrtle_route::issued(&key).is_some() => Ok(Some(key)),
+        Ok(key) if myrtle_route::issued_at(&key).is_some() => Ok(Some(key)),
         _ => Err((Kind::BadKey, String::new())),
     }
 }
 
-fn text<'a>(headers: &'a HeaderMap, name: &str) -> Result<Option<&'a str>, Fault> {
+fn text<'a>(headers: &'a HeaderMap, name: &str) -> Result<Option<&'a str>, Invalid> {
     let Some(value) = headers.get(name) else { return Ok(None) };
     match value.to_str() {
         Ok(text) => Ok(Some(text.trim())),
--- a/crates/gate/src/drain.rs
+++ b/crates/gate/src/drain.rs
@@ -1,4 +1,5 @@
-//! A planned stop: nothing in flight is cut off, everything kept is handed on.
+//! A planned stop: requests in flight are finished, and the resources of this gate are transferred
+//! to other gates.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -10,98 +11,101 @@
 use myrtle_cell::{Op, Unit};
 use myrtle_peer::{GatePeerClient, Proposal};
 
-use crate::life::Event;
+use crate::lifecycle::Event;
 use crate::tables::Tables;
 
-/// How long the balancer is given to see that the gate is not ready.
-const BALANCER: Duration = Duration::from_millis(1_000);
+/// How long the balancer gets to see that the gate is not ready.
+const BALANCER_DELAY: Duration = Duration::from_millis(1_000);
 
-/// How long another gate may take to take a unit.
-const TAKE: Duration = Duration::from_millis(700);
+/// How long another gate may take to receive a resource.
+const RECEIVE_TIMEOUT: Duration = Duration::from_millis(700);
 
-/// How often a hand-over is put into the log before the lease is left to lapse.
-const TRIES: u32 = 5;
+/// How often a transfer is proposed to the log before the lease is left to expire.
+const MAX_TRIES: u32 = 5;
 
-/// Says that the gate stops, and waits for the balancer to see it.
+/// Reports the gate as not ready and waits for the balancer to see it.
 pub async fn announce(tables: &Tables) {
     info!("gate: draining");
-    tables.live(Event::Drain);
-    sleep(BALANCER).await;
+    tables.handle_event(Event::Drain);
+    sleep(BALANCER_DELAY).await;
 }
 
-/// Waits until nothing is in flight, or until the settings' limit.
+/// Waits until no request is in flight, or until the settings' limit; returns whether all were
+/// finished.
 pub async fn finish(tables: &Tables) -> bool {
     let end = Instant::now() + tables.settings.drain.0.std();
-    let busy = || {
-        tables.core(|cores| cores.values().map(|c| c.upstreams.busy() + c.waiting() as u32).sum())
+    let in_flight = || {
+        tables
+            .queues(|queues| queues.values().map(|c| c.upstreams.busy() + c.waiting() as u32).sum())
     };
     while Instant::now() < end {
-        let left: u32 = busy();
+        let left: u32 = in_flight();
         if left == 0 {
             return true;
         }
         sleep(Duration::from_millis(20)).await;
     }
-    busy() == 0
+    in_flight() == 0
 }
 
-/// Hands on everything that is kept and leaves the cell.
+/// Transfers all resources of this gate and leaves the cell.
 pub async fn leave(tables: &Arc<Tables>) {
-    let moves = heirs(tables);
-    hand_over(tables, moves).await;
+    let moves = next_coordinators(tables);
+    transfer(tables, moves).await;
     tables.report_usage().await;
-    let (gate, boot) = (tables.name().to_string(), tables.boot());
-    // A unit that nobody took must not be free before the loans on it have run out.
-    if tables.books(|b| b.units().is_empty()) {
-        tables.propose(vec![Op::Leave { gate, boot }]).await;
+    let (gate, incarnation) = (tables.name().to_string(), tables.incarnation());
+    // A resource that no gate received must not be free before the allocations of it have expired.
+    if tables.resources(|b| b.resources().is_empty()) {
+        tables.propose(vec![Op::Leave { gate, boot: incarnation }]).await;
     }
-    tables.live(Event::Emptied);
+    tables.handle_event(Event::Drained);
     info!("gate: left");
 }
 
-/// Hands units to other gates; one that is not taken stays here.
-pub async fn hand_over(tables: &Arc<Tables>, moves: Vec<(Unit, String)>) {
+/// Transfers resources to other gates; one whose gate has no address stays here.
+pub async fn transfer(tables: &Arc<Tables>, moves: Vec<(Unit, String)>) {
     let mut ops = Vec::new();
-    for (unit, to) in moves {
-        if give(tables, &unit, &to).await {
+    for (resource, to) in moves {
+        if send_state(tables, &resource, &to).await {
             let from = tables.name().to_string();
-            ops.push(Op::Hand { unit, from, to });
+            ops.push(Op::Hand { unit: resource, from, to });
         }
     }
     if ops.is_empty() {
         return;
     }
-    tables.ring.add("gate", format!("hands {} units on", ops.len()));
-    for _ in 0..TRIES {
+    tables.ring.add("gate", format!("transfers {} resources", ops.len()));
+    for _ in 0..MAX_TRIES {
         if let Proposal::Folded(_) = tables.propose(ops.clone()).await {
             return;
         }
     }
 }
 
-/// The gates that should keep each unit when this one is gone.
-fn heirs(tables: &Tables) -> Vec<(Unit, String)> {
+/// The gates that should coordinate each resource when this one is gone.
+fn next_coordinators(tables: &Tables) -> Vec<(Unit, String)> {
     let view = tables.view.load();
     let others = || view.peering.gates.keys().filter(|g| *g != tables.name()).map(String::as_str);
-    let heir = |unit: Unit| {
-        let heir = winner(others(), &unit.to_string())?.to_string();
-        Some((unit, heir))
+    let next = |resource: Unit| {
+        let next = winner(others(), &resource.to_string())?.to_string();
+        Some((resource, next))
     };
-    tables.books(|b| b.units()).into_iter().filter_map(heir).collect()
+    tables.resources(|b| b.resources()).into_iter().filter_map(next).collect()
 }
 
-/// Gives what is known of a unit to another gate.
+/// Sends the state of a resource to another gate.
 ///
-/// From here on this gate does not use the unit's book any more; whether the other gate got it is
-/// not certain, so it is not taken back.
-async fn give(tables: &Tables, unit: &Unit, to: &str) -> bool {
+/// From here on this gate does not use the state any more; it is not taken back, as the other gate
+/// may have received it.
+async fn send_state(tables: &Tables, resource: &Unit, to: &str) -> bool {
     let Some(at) = tables.view.load().peer(to) else { return false };
     let now = tables.now();
-    let Some(over) = tables.books(|b| b.close(unit, now)) else { return false };
-    let (unit, from) = (unit.clone(), tables.name().to_string());
+    let Some(state) = tables.resources(|b| b.close(resource, now)) else { return false };
+    let (resource, from) = (resource.clone(), tables.name().to_string());
     let link = tables.gate_link(at);
-    let call = |c: GatePeerClient, x| async move { c.take(x, unit, from, over).await };
-    // Without an answer the new keeper may know nothing; it is then cautious by itself.
-    link.call(TAKE, call).await;
+    let call = |c: GatePeerClient, x| async move { c.receive(x, resource, from, state).await };
+    // Without a reply the new coordinator may have no state; it then waits until earlier
+    // allocations have expired.
+    link.call(RECEIVE_TIMEOUT, call).await;
     true
 }
--- a/crates/gate/src/exchange.rs
+++ b/crates/gate/src/exchange.rs
@@ -1,4 +1,5 @@
-//! The attempts at one request: safe ones again elsewhere, unsafe ones at most once.
+//! The attempts at one request: safe ones are tried again at other upstreams, unsafe ones run at
+//! most once.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -15,26 +16,26 @@
 
 use crate::attempt::{self, Outcome, Payload};
 use crate::call::Call;
-use crate::core::Core;
-use crate::serve::{Refusal, note_served, slot};
+use crate::queue::ServiceQueue;
+use crate::serve::{Refusal, record_usage, slot};
 use crate::tables::Tables;
 
-/// A safe request is tried elsewhere too after this many usual latencies.
-const PATIENCE: f64 = 2.5;
+/// A safe request is also sent to another upstream after this many mean latencies.
+const HEDGE_AFTER: f64 = 2.5;
 
-/// The usual latency in seconds of a service that is not configured any more.
-const USUAL: f64 = 0.1;
+/// The latency in seconds that is assumed for a service that is not configured any more.
+const DEFAULT_LATENCY: f64 = 0.1;
 
-/// The least time before that.
-const LEAST: Duration = Duration::from_millis(40);
+/// The least time before a further attempt.
+const MIN_HEDGE: Duration = Duration::from_millis(40);
 
 /// The most attempts at one request.
-const ATTEMPTS: u32 = 3;
+const MAX_ATTEMPTS: u32 = 3;
 
-/// When to come back after all upstreams refused.
-const LATER: Duration = Duration::from_millis(500);
+/// How long a caller should wait after all upstreams refused.
+const RETRY_AFTER: Duration = Duration::from_millis(500);
 
-/// One request on its way.
+/// One request and its attempts.
 struct Exchange<'a> {
     tables: &'a Arc<Tables>,
     call: &'a Call,
@@ -42,17 +43,17 @@
     body: &'a Bytes,
     deadline: Duration,
     running: FuturesUnordered<JoinHandle<Outcome>>,
-    began: Duration,
+    started_at: Duration,
     attempts: u32,
     /// Whether an upstream may have run it.
-    given: bool,
-    newest: Option<u32>,
+    may_have_run: bool,
+    last_upstream: Option<u32>,
 }
 
-/// Runs a request until it is answered, given up or late.
+/// Runs a request until it is answered or refused, or its deadline passes.
 ///
-/// Attempts that nobody waits for any more run on and hold their slots until the upstream is
-/// through with them.
+/// Attempts that no caller waits for any more continue and hold their slots until the upstream has
+/// finished.
 pub async fn exchange(
     tables: &Arc<Tables>,
     call: &Call,
@@ -60,7 +61,7 @@
     body: &Bytes,
     deadline: Duration,
 ) -> Result<Response<Bytes>, Refusal> {
-    tables.with_core(&call.service, |core| core.budget.earn());
+    tables.with_queue(&call.service, |queue| queue.budget.earn());
     let mut exchange = Exchange {
         tables,
         call,
@@ -68,48 +69,48 @@
         body,
         deadline,
         running: FuturesUnordered::new(),
-        began: tables.now(),
+        started_at: tables.now(),
         attempts: 0,
-        given: false,
-        newest: None,
+        may_have_run: false,
+        last_upstream: None,
     };
     exchange.attempt().await?;
-    // Time in slots is paid for, not the wait for one.
-    exchange.began = tables.now();
+    // Only the time in slots is charged, not the wait for one.
+    exchange.started_at = tables.now();
     loop {
         if let Some(answer) = exchange.step().await? {
-            note_served(tables, call, tables.now().saturating_sub(exchange.began));
+            record_usage(tables, call, tables.now().saturating_sub(exchange.started_at));
             return Ok(answer);
         }
     }
 }
 
 impl Exchange<'_> {
-    /// Waits for the next outcome and acts on it; returns the answer when there is one.
+    /// Waits for the next outcome and handles it; returns the answer when there is one.
     async fn step(&mut self) -> Result<Option<Response<Bytes>>, Refusal> {
-        let left = self.deadline.saturating_sub(self.tables.now());
-        let again = self.call.safe && self.attempts < ATTEMPTS;
-        let wait = if again { self.patience().min(left) } else { left };
+        let remaining = self.deadline.saturating_sub(self.tables.now());
+        let hedging = self.call.safe && self.attempts < MAX_ATTEMPTS;
+        let wait = if hedging { self.hedge_delay().min(remaining) } else { remaining };
         let Ok(outcome) = timeout(wait, self.running.next()).await else {
-            return self.late().await.map(|()| None);
+            return self.handle_late().await.map(|()| None);
         };
         match outcome {
             Some(Ok(Outcome::Answer(answer))) => {
                 let failed = answer.status().is_server_error();
-                self.given = true;
-                if failed && self.call.safe && self.try_again().await {
+                self.may_have_run = true;
+                if failed && self.call.safe && self.retry().await {
                     return Ok(None);
                 }
                 return Ok(Some(answer));
             }
             Some(Ok(Outcome::NotRun)) => {
-                if self.try_again().await || !self.running.is_empty() {
+                if self.retry().await || !self.running.is_empty() {
                     return Ok(None);
                 }
             }
             _ => {
-                self.given = true;
-                if self.call.safe && self.try_again().await || !self.running.is_empty() {
+                self.may_have_run = true;
+                if self.call.safe && self.retry().await || !self.running.is_empty() {
                     return Ok(None);
                 }
             }
@@ -117,60 +118,61 @@
         Err(self.refusal())
     }
 
-    /// An attempt takes too long: the deadline has come, or another upstream is tried as well.
-    async fn late(&mut self) -> Result<(), Refusal> {
+    /// Handles an attempt that takes too long: the deadline has passed, or another upstream is
+    /// tried as well.
+    async fn handle_late(&mut self) -> Result<(), Refusal> {
         self.note_late();
         if self.tables.now() >= self.deadline {
             return Err(Kind::Late.into());
         }
-        let crowded = self.core(|core| core.waiting() > 0);
-        if crowded.unwrap_or(false) || !self.try_again().await {
-            // No more attempts: wait for those that run.
-            self.attempts = ATTEMPTS;
+        let queued = self.queue(|queue| queue.waiting() > 0);
+        if queued.unwrap_or(false) || !self.retry().await {
+            // No more attempts: wait for the running ones.
+            self.attempts = MAX_ATTEMPTS;
         }
         Ok(())
     }
 
-    /// Begins a further attempt if the budget allows; false if it does not.
-    async fn try_again(&mut self) -> bool {
-        if self.attempts >= ATTEMPTS {
+    /// Starts another attempt if the budget allows it; returns whether it did.
+    async fn retry(&mut self) -> bool {
+        if self.attempts >= MAX_ATTEMPTS {
             return false;
         }
-        let spent = self.core(|core| core.budget.spend());
+        let spent = self.queue(|queue| queue.budget.spend());
         spent.unwrap_or(false) && self.attempt().await.is_ok()
     }
 
     async fn attempt(&mut self) -> Result<(), Refusal> {
-        let slot = slot(self.tables, self.call, self.deadline, self.newest).await?;
+        let slot = slot(self.tables, self.call, self.deadline, self.last_upstream).await?;
         self.attempts += 1;
-        self.newest = slot.upstream();
+        self.last_upstream = slot.upstream();
         let payload = Payload::Whole(self.body.clone());
-        let left = self.deadline.saturating_sub(self.tables.now());
-        let run = attempt::run(slot, self.head.clone(), payload, left, false);
+        let remaining = self.deadline.saturating_sub(self.tables.now());
+        let run = attempt::run(slot, self.head.clone(), payload, remaining, false);
         self.running.push(tokio::spawn(run));
         Ok(())
     }
 
     /// The time after which another upstream is tried; it grows with each attempt.
-    fn patience(&self) -> Duration {
-        let usual = self.core(|core| core.upstreams.common()).unwrap_or(USUAL);
-        Duration::from_secs_f64(usual * PATIENCE * f64::from(self.attempts)).max(LEAST)
+    fn hedge_delay(&self) -> Duration {
+        let latency = self.queue(|queue| queue.upstreams.common()).unwrap_or(DEFAULT_LATENCY);
+        Duration::from_secs_f64(latency * HEDGE_AFTER * f64::from(self.attempts)).max(MIN_HEDGE)
     }
 
     fn note_late(&self) {
         let now = self.tables.now();
-        let Some(upstream) = self.newest else { return };
-        self.core(|core| core.upstreams.late(upstream, now));
+        let Some(upstream) = self.last_upstream else { return };
+        self.queue(|queue| queue.upstreams.late(upstream, now));
     }
 
-    fn core<R>(&self, look: impl FnOnce(&mut Core) -> R) -> Option<R> {
-        self.tables.with_core(&self.call.service, look)
+    fn queue<R>(&self, look: impl FnOnce(&mut ServiceQueue) -> R) -> Option<R> {
+        self.tables.with_queue(&self.call.service, look)
     }
 
     fn refusal(&self) -> Refusal {
-        match self.given {
+        match self.may_have_run {
             true => Kind::Unknown.into(),
-            false => Refusal::after(Kind::NoUpstream, LATER),
+            false => Refusal::after(Kind::NoUpstream, RETRY_AFTER),
         }
     }
 }
--- a/crates/gate/src/follow.rs
+++ b/crates/gate/src/follow.rs
@@ -1,4 +1,4 @@
-//! Keeps up with the cell: the host list, the view of a sched, the gate's own lease.
+//! Follows the host list and a sched's view of the cell, and renews the gate's lease.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -12,34 +12,34 @@
 use myrtle_peer::{GateView, Known, Link, Proposal, SchedPeerClient};
 use myrtle_platform::{Host, Role};
 
-use crate::core::Core;
-use crate::life::Event;
+use crate::lifecycle::Event;
+use crate::queue::ServiceQueue;
 use crate::tables::Tables;
-use crate::view::{Party, View};
+use crate::view::{Customer, View};
 
-/// The time between two looks at the host list.
-const LIST: Duration = Duration::from_secs(1);
+/// The time between two reads of the host list.
+const LIST_INTERVAL: Duration = Duration::from_secs(1);
 
-/// How long a view waits for a change at the sched.
-const WAIT: Millis = Millis(1_000);
+/// How long a sched may wait for a change before it replies.
+const VIEW_WAIT: Millis = Millis(1_000);
 
-/// How long a sched may take to answer a view.
-const VIEW: Duration = Duration::from_millis(2_000);
+/// How long a sched may take to reply with a view.
+const VIEW_TIMEOUT: Duration = Duration::from_millis(2_000);
 
-/// The time between two renewals.
-const RENEW: Duration = Duration::from_millis(600);
+/// The time between two lease renewals.
+const RENEW_INTERVAL: Duration = Duration::from_millis(600);
 
-/// How long a sched may take to renew; a renewal without the log asks its peers.
-const RENEWED: Duration = Duration::from_millis(1_500);
+/// How long a sched may take to renew a lease; without the log it asks its peers.
+const RENEW_TIMEOUT: Duration = Duration::from_millis(1_500);
 
-/// How long a sched may take to put commands into the log.
-const PROPOSED: Duration = Duration::from_secs(5);
+/// How long a sched may take to write commands to the log.
+const PROPOSE_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// The pause before another sched is asked.
+/// The pause before the scheds are asked again.
 const PAUSE: Duration = Duration::from_millis(150);
 
-/// How long after its start a gate waits for a share of every party's rate.
-const SHARES: Duration = Duration::from_secs(5);
+/// How long after its start a gate waits for an allocation of every customer's rate.
+const ALLOCATION_WAIT: Duration = Duration::from_secs(5);
 
 /// Follows the host list until the future is dropped.
 pub async fn follow_list(tables: Arc<Tables>) {
@@ -48,13 +48,13 @@
         let centre = &tables.settings.data_centre;
         if let Ok(part) = tables.list.part(centre, mark).await {
             mark = part.mark;
-            part.hosts.into_iter().for_each(|hosts| take_list(&tables, &hosts));
+            part.hosts.into_iter().for_each(|hosts| apply_list(&tables, &hosts));
         }
-        sleep(LIST).await;
+        sleep(LIST_INTERVAL).await;
     }
 }
 
-fn take_list(tables: &Tables, hosts: &[Host]) {
+fn apply_list(tables: &Tables, hosts: &[Host]) {
     let centre = &tables.settings.data_centre;
     let own = hosts.iter().filter(|h| h.role == Role::Sched && h.data_centre == *centre);
     tables.peers(|peers| {
@@ -74,45 +74,47 @@
     loop {
         for link in tables.sched_links() {
             while let Some(view) = ask_view(&tables, &link, mark).await {
-                let told = view.mark;
-                if !take_view(&tables, view) {
-                    // That sched is behind another one: ask somebody else.
+                let received = view.mark;
+                if !apply_view(&tables, view) {
+                    // That sched has an older state than another one: ask the next.
                     break;
                 }
-                mark = told;
+                mark = received;
             }
         }
         sleep(PAUSE).await;
     }
 }
 
-/// Renews the gate's lease until the future is dropped; a lapse begins a new life.
+/// Renews the gate's lease until the future is dropped; the gate's next incarnation begins when it
+/// has expired.
 pub async fn renew(tables: Arc<Tables>) {
     loop {
-        check_lapse(&tables).await;
+        check_expiry(&tables).await;
         let clock = tables.now();
-        let (gate, boot) = (tables.name().to_string(), tables.boot());
+        let (gate, incarnation) = (tables.name().to_string(), tables.incarnation());
         for link in tables.sched_links() {
             let gate = gate.clone();
-            let call =
-                |c: SchedPeerClient, x| async move { c.renew(x, gate, boot, clock.into()).await };
-            if let Some(Some(grant)) = link.call(RENEWED, call).await {
+            let call = |c: SchedPeerClient, x| async move {
+                c.renew(x, gate, incarnation, clock.into()).await
+            };
+            if let Some(Some(grant)) = link.call(RENEW_TIMEOUT, call).await {
                 tables.set_lease(grant.until);
                 break;
             }
         }
-        note_equipped(&tables);
-        sleep(RENEW).await;
+        check_ready(&tables);
+        sleep(RENEW_INTERVAL).await;
     }
 }
 
 impl Tables {
-    /// Puts commands into the log by way of a sched.
+    /// Writes commands to the log through a sched.
     pub async fn propose(&self, ops: Vec<Op>) -> Proposal {
         for link in self.sched_links() {
             let (stamp, ops) = (self.ring.clock().tick(), ops.clone());
             let call = |c: SchedPeerClient, x| async move { c.propose(x, stamp, ops).await };
-            if let Some(Proposal::Folded(verdicts)) = link.call(PROPOSED, call).await {
+            if let Some(Proposal::Folded(verdicts)) = link.call(PROPOSE_TIMEOUT, call).await {
                 return Proposal::Folded(verdicts);
             }
         }
@@ -122,12 +124,12 @@
 
 async fn ask_view(tables: &Tables, link: &Link<SchedPeerClient>, mark: u64) -> Option<GateView> {
     let known = Known { config: tables.view.load().version, mark };
-    let call = |c: SchedPeerClient, x| async move { c.view(x, known, WAIT).await };
-    link.call_waiting(WAIT.std(), VIEW, call).await
+    let call = |c: SchedPeerClient, x| async move { c.view(x, known, VIEW_WAIT).await };
+    link.call_waiting(VIEW_WAIT.std(), VIEW_TIMEOUT, call).await
 }
 
-/// Takes in a view; false if it is older than what is known.
-fn take_view(tables: &Tables, view: GateView) -> bool {
+/// Applies a view; returns false if it is older than the current one.
+fn apply_view(tables: &Tables, view: GateView) -> bool {
     tables.ring.clock().merge(view.stamp);
     let known = tables.view.load_full();
     let stale = view.peering.as_ref().is_some_and(|p| p.next < known.peering.next);
@@ -145,63 +147,63 @@
     }
     if let Some(next) = next {
         tables.view.store(Arc::new(next));
-        set_cores(tables);
-        tables.align_books();
-        tables.needy.notify_one();
+        update_queues(tables);
+        tables.reconcile_resources();
+        tables.more_needed.notify_one();
     }
     true
 }
 
-/// Brings the services' tables in line with the view.
-fn set_cores(tables: &Tables) {
+/// Updates the queues of the services from the view.
+fn update_queues(tables: &Tables) {
     let view = tables.view.load_full();
-    tables.core(|cores| {
+    tables.queues(|queues| {
         for (name, service) in &view.services {
             let seed = rand::rng().random();
-            let core = cores.entry(name.clone()).or_insert_with(|| Core::new(seed));
+            let queue = queues.entry(name.clone()).or_insert_with(|| ServiceQueue::new(seed));
             let own = view.peering.upstreams.iter().filter(|u| u.service == *name);
             let own: Vec<_> = own.cloned().collect();
-            let there = own.iter().filter(|u| !u.leaving).count() as u32;
+            let available = own.iter().filter(|u| !u.leaving).count() as u32;
             let gates = view.peering.gates.len().max(1) as u32;
-            core.set_upstreams(&own);
-            core.set_potential(there * service.slots / gates);
+            queue.set_upstreams(&own);
+            queue.set_even_split(available * service.slots / gates);
         }
     });
 }
 
-async fn check_lapse(tables: &Tables) {
-    let lapsed = !tables.lease().is_zero() && tables.lease_left().is_zero();
-    if !lapsed || !tables.entered() {
+async fn check_expiry(tables: &Tables) {
+    let expired = !tables.lease().is_zero() && tables.lease_left().is_zero();
+    if !expired || !tables.is_listed() {
         return;
     }
-    let boot = tables.boot();
-    warn!("gate: the lease has lapsed");
-    tables.ring.add("gate", "the lease has lapsed, a new life begins");
-    tables.books(|b| b.clear());
-    tables.forget_reported();
-    tables.reborn();
-    tables.live(Event::Stripped);
+    let incarnation = tables.incarnation();
+    warn!("gate: the lease has expired");
+    tables.ring.add("gate", "the lease has expired, a new incarnation begins");
+    tables.resources(|b| b.clear());
+    tables.reset_reported();
+    tables.next_incarnation();
+    tables.handle_event(Event::LeaseLost);
     let gate = tables.name().to_string();
-    tables.propose(vec![Op::Leave { gate, boot }]).await;
+    tables.propose(vec![Op::Leave { gate, boot: incarnation }]).await;
 }
 
-fn note_equipped(tables: &Tables) {
+fn check_ready(tables: &Tables) {
     let now = tables.now();
     let view = tables.view.load();
-    let equipped = |core: &Core| {
-        let rate = |party: &Party| {
-            let unit = Unit::Party(party.name.clone()).to_string();
-            core.shares.usable(&unit, now) > 0
+    let allocated = |queue: &ServiceQueue| {
+        let rate = |customer: &Customer| {
+            let resource = Unit::Party(customer.name.clone()).to_string();
+            queue.allocations.usable(&resource, now) > 0
         };
-        core.upstreams.held() > 0 && view.parties.values().all(rate)
+        queue.upstreams.held() > 0 && view.customers.values().all(rate)
     };
-    // A keeper that is gone must not keep the whole gate from serving for long.
-    let patient = now < SHARES;
-    let ready = |core: &Core| equipped(core) || (!patient && core.upstreams.held() > 0);
-    if tables.core(|cores| cores.values().any(ready))
-        && tables.entered()
+    // A coordinator that is gone must not keep the whole gate from serving for long.
+    let waiting = now < ALLOCATION_WAIT;
+    let ready = |queue: &ServiceQueue| allocated(queue) || (!waiting && queue.upstreams.held() > 0);
+    if tables.queues(|queues| queues.values().any(ready))
+        && tables.is_listed()
         && !tables.lease_left().is_zero()
     {
-        tables.live(Event::Equipped);
+        tables.handle_event(Event::Ready);
     }
 }
--- a/crates/gate/src/keyed.rs
+++ b/crates/gate/src/keyed.rs
@@ -1,4 +1,4 @@
-//! Requests with a key: the key's keeper says whether they run.
+//! Serves requests with an idempotency key; the key's coordinator decides whether they run.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -14,36 +14,36 @@
 use myrtle_base::{Kind, Ran, winner};
 use myrtle_cell::Unit;
 use myrtle_peer::{Done, GatePeerClient, Link};
-use myrtle_route::{Begin, Saved, bucket_of};
+use myrtle_route::{Decision, SavedAnswer, bucket_of};
 
 use crate::call::Call;
 use crate::exchange::exchange;
 use crate::rate::take_rate;
 use crate::refusal::RAN;
-use crate::serve::{Refusal, Reply, whole};
+use crate::serve::{Refusal, Reply, complete};
 use crate::tables::{Tables, wall};
 
-/// How long a keeper is looked for; a bucket changes hands within it.
-const SEARCH: Duration = Duration::from_millis(1_500);
+/// How long a coordinator is looked for; a bucket changes its coordinator within this time.
+const SEARCH_LIMIT: Duration = Duration::from_millis(1_500);
 
-/// The pause between two looks for a keeper.
+/// The pause between two attempts to find a coordinator.
 const PAUSE: Duration = Duration::from_millis(100);
 
-/// How long another gate may take to answer.
-const WORD: Duration = Duration::from_millis(700);
+/// How long another gate may take to reply.
+const REPLY_TIMEOUT: Duration = Duration::from_millis(700);
 
-/// How often the end of a request is told before it is given up.
-const TELLS: u32 = 4;
+/// How often the end of a request is reported before the report is given up.
+const MAX_REPORTS: u32 = 4;
 
-/// Marks an answer that was kept from the first run.
+/// Header of an answer that was kept from the first run.
 const REPLAYED: &str = "myrtle-replayed";
 
-/// Who knows about a key.
-enum Keeper {
+/// The gate to ask about a key.
+enum Coordinator {
     /// This gate.
-    Here,
-    /// Another gate; the flag says whether it must not pass the question on.
-    There(Arc<Link<GatePeerClient>>, bool),
+    ThisGate,
+    /// Another gate; the flag says whether it must not forward the question.
+    OtherGate(Arc<Link<GatePeerClient>>, bool),
 }
 
 /// Serves an unsafe request with a key.
@@ -58,9 +58,9 @@
     let hash = hash(call, &head, &body);
     let home = home(tables, call, &key);
     match begin(tables, &home, key, hash, deadline).await? {
-        Begin::Replay(saved) => Ok(replay(saved)),
-        Begin::Refuse(kind) => Err(kind.into()),
-        Begin::Run => {
+        Decision::Replay(saved) => Ok(replay(saved)),
+        Decision::Refuse(kind) => Err(kind.into()),
+        Decision::Run => {
             let result = match take_rate(tables, call, deadline).await {
                 Ok(()) => exchange(tables, call, &Arc::new(head), &body, deadline).await,
                 Err(refusal) => Err(refusal),
@@ -70,23 +70,23 @@
                 Err(refusal) if refusal.kind.ran() == Ran::No => Done::NotRun,
                 Err(_) => Done::Unknown,
             };
-            tokio::spawn(tell(tables.clone(), home, key, done));
-            result.map(whole)
+            tokio::spawn(report_end(tables.clone(), home, key, done));
+            result.map(complete)
         }
     }
 }
 
-/// Decides at this gate, if it keeps the key's bucket.
-pub fn begin_here(tables: &Tables, key: Uuid, hash: u64, holder: u64) -> Option<Begin> {
-    if tables.lease_left().is_zero() || !tables.entered() {
+/// Decides at this gate whether a request runs, if it coordinates the key's bucket.
+pub fn begin_here(tables: &Tables, key: Uuid, hash: u64, runner: u64) -> Option<Decision> {
+    if tables.lease_left().is_zero() || !tables.is_listed() {
         return None;
     }
-    tables.books(|b| b.bucket(&key).map(|bucket| bucket.begin(key, hash, holder, wall())))
+    tables.resources(|b| b.bucket(&key).map(|bucket| bucket.begin(key, hash, runner, wall())))
 }
 
-/// Notes at this gate how a request ended, if it keeps the key's bucket.
+/// Records at this gate how a request ended, if it coordinates the key's bucket.
 pub fn end_here(tables: &Tables, key: &Uuid, done: &Done) -> bool {
-    tables.books(|b| {
+    tables.resources(|b| {
         let Some(bucket) = b.bucket(key) else { return false };
         match done {
             Done::Answered(saved) => bucket.ended(key, saved.clone()),
@@ -97,37 +97,38 @@
     })
 }
 
-/// Asks the keeper of a key of this data centre on behalf of another gate.
+/// Asks the coordinator of a key of this data centre on behalf of another gate.
 pub async fn begin_for(
     tables: &Arc<Tables>,
     key: Uuid,
     hash: u64,
-    holder: u64,
-    passed: bool,
-) -> Begin {
-    if let Some(begin) = begin_here(tables, key, hash, holder) {
+    runner: u64,
+    forwarded: bool,
+) -> Decision {
+    if let Some(begin) = begin_here(tables, key, hash, runner) {
         return begin;
     }
-    let Some(Keeper::There(link, _)) = keeper(tables, tables.settings.data_centre.as_str(), &key)
+    let Some(Coordinator::OtherGate(link, _)) =
+        coordinator(tables, tables.settings.data_centre.as_str(), &key)
     else {
-        return Begin::Refuse(Kind::NoKeeper);
+        return Decision::Refuse(Kind::NoKeeper);
     };
-    if passed {
-        return Begin::Refuse(Kind::NoKeeper);
+    if forwarded {
+        return Decision::Refuse(Kind::NoKeeper);
     }
-    ask(tables, &link, key, hash, holder, true).await.unwrap_or(Begin::Refuse(Kind::NoKeeper))
+    ask(tables, &link, key, hash, runner, true).await.unwrap_or(Decision::Refuse(Kind::NoKeeper))
 }
 
-/// Tells the keeper of a key of this data centre on behalf of another gate.
-pub async fn end_for(tables: &Arc<Tables>, key: Uuid, done: Done, passed: bool) {
-    if end_here(tables, &key, &done) || passed {
+/// Reports the end of a request to the coordinator of its key, on behalf of another gate.
+pub async fn end_for(tables: &Arc<Tables>, key: Uuid, done: Done, forwarded: bool) {
+    if end_here(tables, &key, &done) || forwarded {
         return;
     }
     let home = tables.settings.data_centre.clone();
-    tell(tables.clone(), home, key, done).await;
+    report_end(tables.clone(), home, key, done).await;
 }
 
-/// The data centre whose gates keep the key: as the caller says, or by the key.
+/// The data centre whose gates coordinate the key: as the caller says, or else chosen by the key.
 fn home(tables: &Tables, call: &Call, key: &Uuid) -> String {
     let view = tables.view.load();
     let named = call.home.as_ref().filter(|h| view.centres.contains(h));
@@ -144,20 +145,20 @@
     key: Uuid,
     hash: u64,
     deadline: Duration,
-) -> Result<Begin, Refusal> {
-    let holder: u64 = rand::random();
-    let end = deadline.min(tables.now() + SEARCH);
+) -> Result<Decision, Refusal> {
+    let runner: u64 = rand::random();
+    let end = deadline.min(tables.now() + SEARCH_LIMIT);
     loop {
-        let word = match keeper(tables, home, &key) {
-            Some(Keeper::Here) => begin_here(tables, key, hash, holder),
-            Some(Keeper::There(link, passed)) => {
-                ask(tables, &link, key, hash, holder, passed).await
+        let reply = match coordinator(tables, home, &key) {
+            Some(Coordinator::ThisGate) => begin_here(tables, key, hash, runner),
+            Some(Coordinator::OtherGate(link, forwarded)) => {
+                ask(tables, &link, key, hash, runner, forwarded).await
             }
             None => None,
         };
-        match word {
-            Some(Begin::Refuse(Kind::NoKeeper)) | None => {}
-            Some(word) => return Ok(word),
+        match reply {
+            Some(Decision::Refuse(Kind::NoKeeper)) | None => {}
+            Some(reply) => return Ok(reply),
         }
         if tables.now() + PAUSE >= end {
             return Err(Refusal::after(Kind::NoKeeper, Duration::from_secs(2)));
@@ -171,24 +172,25 @@
     link: &Link<GatePeerClient>,
     key: Uuid,
     hash: u64,
-    holder: u64,
-    passed: bool,
-) -> Option<Begin> {
+    runner: u64,
+    forwarded: bool,
+) -> Option<Decision> {
     let stamp = tables.ring.clock().tick();
     let call =
-        |c: GatePeerClient, x| async move { c.begin(x, stamp, key, hash, holder, passed).await };
-    link.call(WORD, call).await
+        |c: GatePeerClient, x| async move { c.begin(x, stamp, key, hash, runner, forwarded).await };
+    link.call(REPLY_TIMEOUT, call).await
 }
 
-async fn tell(tables: Arc<Tables>, home: String, key: Uuid, done: Done) {
-    for _ in 0..TELLS {
-        match keeper(&tables, &home, &key) {
-            Some(Keeper::Here) if end_here(&tables, &key, &done) => return,
-            Some(Keeper::There(link, passed)) => {
+async fn report_end(tables: Arc<Tables>, home: String, key: Uuid, done: Done) {
+    for _ in 0..MAX_REPORTS {
+        match coordinator(&tables, &home, &key) {
+            Some(Coordinator::ThisGate) if end_here(&tables, &key, &done) => return,
+            Some(Coordinator::OtherGate(link, forwarded)) => {
                 let (stamp, done) = (tables.ring.clock().tick(), done.clone());
-                let call =
-                    |c: GatePeerClient, x| async move { c.end(x, stamp, key, done, passed).await };
-                if link.call(WORD, call).await.is_some() {
+                let call = |c: GatePeerClient, x| async move {
+                    c.end(x, stamp, key, done, forwarded).await
+                };
+                if link.call(REPLY_TIMEOUT, call).await.is_some() {
                     return;
                 }
             }
@@ -198,45 +200,45 @@
     }
 }
 
-/// The gate that knows about a key, as far as this one knows.
-fn keeper(tables: &Tables, home: &str, key: &Uuid) -> Option<Keeper> {
+/// The gate that coordinates a key, according to this gate's view.
+fn coordinator(tables: &Tables, home: &str, key: &Uuid) -> Option<Coordinator> {
     let view = tables.view.load();
     if home != tables.settings.data_centre {
         let gates = view.peering.peers.iter().filter(|(_, (centre, _))| centre == home);
         let gate = winner(gates.map(|(name, _)| name.as_str()), &key.to_string())?;
-        return Some(Keeper::There(tables.gate_link(view.peer(gate)?), false));
+        return Some(Coordinator::OtherGate(tables.gate_link(view.peer(gate)?), false));
     }
-    let keep = view.peering.units.get(&Unit::Keys(bucket_of(key)))?;
-    if keep.gate == tables.name() {
-        return Some(Keeper::Here);
+    let keeping = view.peering.units.get(&Unit::Keys(bucket_of(key)))?;
+    if keeping.gate == tables.name() {
+        return Some(Coordinator::ThisGate);
     }
-    Some(Keeper::There(tables.gate_link(view.peer(&keep.gate)?), true))
+    Some(Coordinator::OtherGate(tables.gate_link(view.peer(&keeping.gate)?), true))
 }
 
-/// Tells two requests apart that use the same key.
+/// Hashes what must be the same in all requests with one key.
 fn hash(call: &Call, head: &Parts, body: &[u8]) -> u64 {
     let mut hasher = Xxh3Default::new();
-    hasher.update(call.party.as_bytes());
+    hasher.update(call.customer.as_bytes());
     hasher.update(head.method.as_str().as_bytes());
     hasher.update(head.uri.path_and_query().map_or("/", |p| p.as_str()).as_bytes());
     hasher.update(body);
     hasher.digest()
 }
 
-fn saved(answer: &Response<Bytes>) -> Saved {
+fn saved(answer: &Response<Bytes>) -> SavedAnswer {
     let content = answer.headers().get(CONTENT_TYPE).and_then(|v| v.to_str().ok());
-    Saved {
+    SavedAnswer {
         status: answer.status().as_u16(),
-        content: content.unwrap_or_default().into(),
+        content_type: content.unwrap_or_default().into(),
         body: answer.body().to_vec(),
     }
 }
 
-fn replay(saved: Saved) -> Reply {
+fn replay(saved: SavedAnswer) -> Reply {
     let mut answer = Response::new(Either::Left(Full::from(saved.body)));
     *answer.status_mut() = saved.status.try_into().unwrap_or_default();
     let headers = answer.headers_mut();
-    if let Ok(content) = HeaderValue::from_str(&saved.content) {
+    if let Ok(content) = HeaderValue::from_str(&saved.content_type) {
         headers.insert(CONTENT_TYPE, content);
     }
     headers.insert(RAN, HeaderValue::from_static("yes"));
--- a/crates/gate/src/lib.rs
+++ b/crates/gate/src/lib.rs
@@ -1,20 +1,20 @@
-//! The gate: takes requests of callers to slots of upstreams.
+//! The gate routes requests of callers to slots of upstreams.
 //!
-//! Lock order of [`tables::Tables`]: core, books, peers, pool, served. A task that holds one may
-//! take only those after it, and holds none across an await.
+//! Lock order of [`tables::Tables`]: queues, resources, peers, pool, served, reported. A task that
+//! holds one may take only those after it, and holds none across an await.
 
+mod acquire;
 mod admin;
 mod attempt;
-mod borrow;
 mod call;
-mod core;
+mod coordinator;
 mod drain;
 mod exchange;
 mod follow;
-mod keeper;
 mod keyed;
-mod life;
+mod lifecycle;
 mod pool;
+mod queue;
 mod rate;
 mod rebalance;
 mod refusal;
--- a/crates/gate/src/life.rs
+++ b/crates/gate/src/lifecycle.rs
@@ -1,18 +1,18 @@
-//! The life of a gate, as the balancer sees it.
+//! The state machine of a gate, whose state decides whether the balancer may send it requests.
 
 use statig::prelude::*;
 
 /// What happens to a gate.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Event {
-    /// It has a configuration, a lease and slots.
-    Equipped,
-    /// It lost its lease.
-    Stripped,
-    /// It is to stop as planned.
+    /// The gate has a configuration, a lease and slots.
+    Ready,
+    /// The gate lost its lease.
+    LeaseLost,
+    /// A planned stop begins.
     Drain,
-    /// Nothing is in flight any more and everything is handed on.
-    Emptied,
+    /// No request is in flight and all resources are transferred.
+    Drained,
 }
 
 impl State {
@@ -22,42 +22,42 @@
     }
 }
 
-/// The machine; its state is all it holds.
+/// The state machine, which holds no data besides its state.
 #[derive(Debug, Default)]
-pub struct Life;
+pub struct Lifecycle;
 
 #[state_machine(initial = "State::starting()", state(derive(Debug, Clone, PartialEq, Eq)))]
-impl Life {
-    /// It cannot serve yet.
+impl Lifecycle {
+    /// The gate can't serve yet.
     #[state]
     fn starting(event: &Event) -> Outcome<State> {
         match event {
-            Event::Equipped => Transition(State::serving()),
+            Event::Ready => Transition(State::serving()),
             Event::Drain => Transition(State::draining()),
             _ => Handled,
         }
     }
 
-    /// It serves.
+    /// The gate serves.
     #[state]
     fn serving(event: &Event) -> Outcome<State> {
         match event {
-            Event::Stripped => Transition(State::starting()),
+            Event::LeaseLost => Transition(State::starting()),
             Event::Drain => Transition(State::draining()),
             _ => Handled,
         }
     }
 
-    /// It finishes what it has.
+    /// The gate finishes the requests that it has.
     #[state]
     fn draining(event: &Event) -> Outcome<State> {
         match event {
-            Event::Emptied => Transition(State::stopped()),
+            Event::Drained => Transition(State::stopped()),
             _ => Handled,
         }
     }
 
-    /// It does nothing any more.
+    /// The gate has stopped.
     #[state]
     fn stopped(event: &Event) -> Outcome<State> {
         let _ = event;
--- a/crates/gate/src/main.rs
+++ b/crates/gate/src/main.rs
@@ -1,10 +1,11 @@
-//! `myrtle-gate`: takes requests of callers to slots of upstreams.
+//! `myrtle-gate`: routes requests of callers to slots of upstreams.
 
 use std::process::ExitCode;
 
 use tokio::signal::unix::{SignalKind, signal};
 
-/// A planned stop reached its limit with requests in flight; see docs/OPERATING.md.
+/// Exit code of a planned stop that reached its limit with requests in flight; see
+/// docs/OPERATING.md.
 const CUT_OFF: u8 = 4;
 
 #[tokio::main]
--- a/crates/gate/src/pool.rs
+++ b/crates/gate/src/pool.rs
@@ -1,4 +1,4 @@
-//! Idle connections to upstreams, never more than the slots held there.
+//! Idle connections to upstreams, never more than this gate's slots there.
 
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -11,7 +11,7 @@
 
 use myrtle_base::Doubt;
 
-/// The body of a request to an upstream: kept whole, or passed on as it comes.
+/// The body of a request to an upstream, buffered or streamed.
 pub type Outgoing = Either<Full<Bytes>, Incoming>;
 
 /// A connection to an upstream.
@@ -20,24 +20,27 @@
 /// Idle connections by address.
 #[derive(Debug, Default)]
 pub struct Pool {
-    places: HashMap<SocketAddr, Place>,
+    addresses: HashMap<SocketAddr, Address>,
 }
 
-/// What is known of one address; connections with the moment at which they were last heard of.
+/// Idle connections to one address, each with the time of its last answer, and whether they may
+/// have gone silent.
 #[derive(Debug, Default)]
-struct Place {
+struct Address {
     idle: Vec<(Connection, Instant)>,
     doubt: Doubt,
 }
 
 impl Pool {
-    /// An idle connection that is still open and not in doubt.
+    /// Takes an idle connection that is still open and not in doubt.
     pub fn take(&mut self, at: SocketAddr) -> Option<Connection> {
-        let place = self.places.get_mut(&at)?;
-        let doubted = place.doubt.before(Instant::now());
-        // All of them may have gone silent at once.
-        place.idle.retain(|(_, heard)| doubted.is_none_or(|before| *heard >= before));
-        while let Some((connection, _)) = place.idle.pop() {
+        let address = self.addresses.get_mut(&at)?;
+        let suspect_before = address.doubt.before(Instant::now());
+        // All idle connections may have gone silent at once.
+        address
+            .idle
+            .retain(|(_, answered_at)| suspect_before.is_none_or(|before| *answered_at >= before));
+        while let Some((connection, _)) = address.idle.pop() {
             if connection.is_ready() {
                 return Some(connection);
             }
@@ -45,23 +48,28 @@
         None
     }
 
-    /// Notes that a request is sent on a kept or a new connection; returns its number.
-    pub fn sent(&mut self, at: SocketAddr, kept: bool) -> u64 {
-        self.places.entry(at).or_default().doubt.sent(Duration::ZERO, true, kept, Instant::now())
+    /// Records that a request is sent on a reused or a new connection; returns its number.
+    pub fn sent(&mut self, at: SocketAddr, reused: bool) -> u64 {
+        self.addresses.entry(at).or_default().doubt.sent(
+            Duration::ZERO,
+            true,
+            reused,
+            Instant::now(),
+        )
     }
 
-    /// Notes that a request was answered, or that nobody waits for its answer any more.
-    pub fn over(&mut self, at: SocketAddr, number: u64, answered: bool) {
-        let (place, now) = (self.places.entry(at).or_default(), Instant::now());
+    /// Records that a request was answered, or that its answer is no longer awaited.
+    pub fn ended(&mut self, at: SocketAddr, number: u64, answered: bool) {
+        let (address, now) = (self.addresses.entry(at).or_default(), Instant::now());
         match answered {
-            true => drop(place.doubt.answered(number, now, now)),
-            false => place.doubt.given_up(number, now),
+            true => drop(address.doubt.answered(number, now, now)),
+            false => address.doubt.given_up(number, now),
         }
     }
 
     /// Keeps a connection unless `most` are idle already.
     pub fn put(&mut self, at: SocketAddr, connection: Connection, most: usize) {
-        let idle = &mut self.places.entry(at).or_default().idle;
+        let idle = &mut self.addresses.entry(at).or_default().idle;
         idle.retain(|(c, _)| !c.is_closed());
         if idle.len() < most {
             idle.push((connection, Instant::now()));
@@ -70,8 +78,8 @@
 
     /// Closes idle connections above `most`.
     pub fn shrink(&mut self, at: SocketAddr, most: usize) {
-        if let Some(place) = self.places.get_mut(&at) {
-            place.idle.truncate(most);
+        if let Some(address) = self.addresses.get_mut(&at) {
+            address.idle.truncate(most);
         }
     }
 }
--- a/crates/gate/src/rate.rs
+++ b/crates/gate/src/rate.rs
@@ -1,4 +1,5 @@
-//! A party's rate at this gate: a token of its share, or of what its keeper lends it more.
+//! Limits a customer's rate at this gate to what the coordinator has allocated, and waits while
+//! that grows.
 
 use std::time::Duration;
 
@@ -7,61 +8,64 @@
 use myrtle_base::Kind;
 use myrtle_cell::Unit;
 
-use crate::borrow::want_of;
+use crate::acquire::wanted_rate;
 use crate::call::Call;
-use crate::core::Core;
+use crate::queue::ServiceQueue;
 use crate::serve::Refusal;
 use crate::tables::Tables;
 
-/// When to come back to a gate that no keeper lends to.
-const SHARELESS: Duration = Duration::from_secs(1);
+/// How long a caller should wait if the gate has no allocation of its rate.
+const NO_ALLOCATION: Duration = Duration::from_secs(1);
 
-/// How long a request may wait for a token while its party's share grows.
-const PATIENCE: Duration = Duration::from_secs(1);
+/// How long a request may wait for a token while its customer's allocation grows.
+const MAX_WAIT: Duration = Duration::from_secs(1);
 
-/// Takes one request out of the party's share, which is nothing while no keeper lends.
+/// Takes a token of the customer's rate, of which nothing is allocated while no coordinator
+/// replies.
 ///
-/// Without a token it waits for one if the keeper may lend more, at most half of its time.
+/// Without a token, waits for one if the coordinator may allocate more, at most half of the
+/// remaining time.
 pub async fn take_rate(tables: &Tables, call: &Call, deadline: Duration) -> Result<(), Refusal> {
     let now = tables.now();
     let Err(refusal) = token(tables, call, true) else { return Ok(()) };
-    // A quiet party's share is small: it grows only when the keeper is asked, so ask first.
-    if !wait(tables, call, now) {
+    // The allocation of a customer without recent requests is small and grows only when the
+    // coordinator is asked, so ask before refusing.
+    if !may_wait(tables, call, now) {
         return Err(refusal);
     }
-    let end = now + PATIENCE.min(deadline.saturating_sub(now) / 2);
-    let taken = grown(tables, call, end).await;
-    with_rate(tables, call, |core| core.rates.entry(call.party.clone()).or_default().waited());
+    let end = now + MAX_WAIT.min(deadline.saturating_sub(now) / 2);
+    let taken = wait_for_token(tables, call, end).await;
+    with_rate(tables, call, |q| q.rates.entry(call.customer.clone()).or_default().end_wait());
     taken
 }
 
 /// Takes a token as soon as there is one, until `end`.
-async fn grown(tables: &Tables, call: &Call, end: Duration) -> Result<(), Refusal> {
+async fn wait_for_token(tables: &Tables, call: &Call, end: Duration) -> Result<(), Refusal> {
     loop {
-        let lent = tables.lent.notified();
+        let changed = tables.allocated.notified();
         let Err(refusal) = token(tables, call, false) else { return Ok(()) };
-        let left = end.saturating_sub(tables.now());
-        if left.is_zero() {
+        let remaining = end.saturating_sub(tables.now());
+        if remaining.is_zero() {
             return Err(refusal);
         }
-        let _ = timeout(refusal.after.unwrap_or(left).min(left), lent).await;
+        let _ = timeout(refusal.after.unwrap_or(remaining).min(remaining), changed).await;
     }
 }
 
-/// Whether a request without a token may wait; asks the keeper for more if so.
-fn wait(tables: &Tables, call: &Call, now: Duration) -> bool {
+/// Whether a request without a token may wait; if so, asks the coordinator for more.
+fn may_wait(tables: &Tables, call: &Call, now: Duration) -> bool {
     let view = tables.view.load();
-    let Some(party) = view.parties.values().find(|p| p.name == call.party) else { return false };
-    let waits = with_rate(tables, call, |core| {
-        let want = want_of(core, party, now);
-        let unit = unit(call);
-        let growing =
-            core.shares.usable(&unit, now) > 0 && core.shares.growing(&unit, want, party.rate, now);
-        // No more wait than the whole rate could serve meanwhile.
-        growing && core.rates.entry(call.party.clone()).or_default().wait(party.rate)
+    let Some(c) = view.customers.values().find(|c| c.name == call.customer) else { return false };
+    let waits = with_rate(tables, call, |queue| {
+        let want = wanted_rate(queue, c, now);
+        let resource = resource(call);
+        let growing = queue.allocations.usable(&resource, now) > 0
+            && queue.allocations.growing(&resource, want, c.rate, now);
+        // No more requests wait than the whole rate could serve in that time.
+        growing && queue.rates.entry(call.customer.clone()).or_default().start_wait(c.rate)
     });
     if waits == Some(true) {
-        tables.needy.notify_one();
+        tables.more_needed.notify_one();
     }
     waits.unwrap_or(false)
 }
@@ -69,22 +73,26 @@
 /// Takes a token if there is one; `first` counts the request as demand.
 fn token(tables: &Tables, call: &Call, first: bool) -> Result<(), Refusal> {
     let now = tables.now();
-    let taken = with_rate(tables, call, |core| {
-        let share = core.shares.usable(&unit(call), now);
-        let rate = core.rates.entry(call.party.clone()).or_default();
-        let taken = if first { rate.take(share, now) } else { rate.again(share, now) };
-        taken.map_err(|after| match share {
-            0 => Refusal::after(Kind::NotReady, SHARELESS),
+    let taken = with_rate(tables, call, |queue| {
+        let allocated = queue.allocations.usable(&resource(call), now);
+        let rate = queue.rates.entry(call.customer.clone()).or_default();
+        let taken = if first { rate.take(allocated, now) } else { rate.retry(allocated, now) };
+        taken.map_err(|after| match allocated {
+            0 => Refusal::after(Kind::NotReady, NO_ALLOCATION),
             _ => Refusal::after(Kind::OverLimit, after),
         })
     });
     taken.unwrap_or(Ok(()))
 }
 
-fn with_rate<R>(tables: &Tables, call: &Call, look: impl FnOnce(&mut Core) -> R) -> Option<R> {
-    tables.with_core(&call.service, look)
+fn with_rate<R>(
+    tables: &Tables,
+    call: &Call,
+    look: impl FnOnce(&mut ServiceQueue) -> R,
+) -> Option<R> {
+    tables.with_queue(&call.service, look)
 }
 
-fn unit(call: &Call) -> String {
-    Unit::Party(call.party.clone()).to_string()
+fn resource(call: &Call) -> String {
+    Unit::Party(call.customer.clone()).to_string()
 }
--- a/crates/gate/src/rebalance.rs
+++ b/crates/gate/src/rebalance.rs
@@ -1,4 +1,4 @@
-//! Hands units on to the gates that should keep them.
+//! Transfers resources to the gates that should coordinate them.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -11,59 +11,60 @@
 use myrtle_peer::Proposal;
 use myrtle_route::KeyTable;
 
-use crate::drain::hand_over;
+use crate::drain::transfer;
 use crate::tables::Tables;
 
-/// The time between two looks for better keepers.
-const LOOK: Duration = Duration::from_secs(1);
+/// The time between two checks for better coordinators.
+const INTERVAL: Duration = Duration::from_secs(1);
 
-/// Units handed on at a time when a better keeper is there.
-const MOVES: usize = 16;
+/// Resources that are transferred at a time.
+const MAX_MOVES: usize = 16;
 
-/// Hands units to better keepers, a few at a time, until the future is dropped.
+/// Transfers resources to better coordinators, a few at a time, until the future is dropped.
 pub async fn run(tables: Arc<Tables>) {
     loop {
-        sleep(LOOK).await;
-        let moves: Vec<_> = better_keepers(&tables).into_iter().take(MOVES).collect();
-        // What is handed on has no keeper until that is in the log, so the log has to be there.
-        if !moves.is_empty() && log_takes(&tables).await {
-            hand_over(&tables, moves).await;
+        sleep(INTERVAL).await;
+        let moves: Vec<_> = better_coordinators(&tables).into_iter().take(MAX_MOVES).collect();
+        // A transferred resource has no coordinator until the transfer is in the log, so the log
+        // has to be available.
+        if !moves.is_empty() && log_available(&tables).await {
+            transfer(&tables, moves).await;
         }
     }
 }
 
-/// Whether every bucket of keys has a keeper and nothing has to be handed on, as far as this gate
-/// knows.
+/// Whether every bucket of keys has a coordinator and nothing has to be transferred, according to
+/// this gate's view.
 pub fn settled(tables: &Tables) -> bool {
     let view = tables.view.load();
-    let own = tables.books(|b| b.units());
-    let kept = |bucket| {
-        let unit = Unit::Keys(bucket);
-        let keep = view.peering.units.get(&unit);
-        keep.is_some_and(|k| k.gate != tables.name() || own.contains(&unit))
+    let own = tables.resources(|b| b.resources());
+    let coordinated = |bucket| {
+        let resource = Unit::Keys(bucket);
+        let assigned = view.peering.units.get(&resource);
+        assigned.is_some_and(|k| k.gate != tables.name() || own.contains(&resource))
     };
-    KeyTable::buckets().all(kept) && better_keepers(tables).is_empty()
+    KeyTable::buckets().all(coordinated) && better_coordinators(tables).is_empty()
 }
 
-/// Whether the log takes commands now: one that changes nothing, unless this gate is suspected, is
-/// put there and read back.
-async fn log_takes(tables: &Tables) -> bool {
+/// Whether the log is available: writes a command that changes nothing, unless this gate is
+/// suspected, and waits until it is read back.
+async fn log_available(tables: &Tables) -> bool {
     let subject = Subject::Gate(tables.name().to_string());
     let folded = matches!(tables.propose(vec![Op::Clear { subject }]).await, Proposal::Folded(_));
     if !folded {
-        info!("gate: nothing is handed on while the log is away");
+        info!("gate: no resource is transferred while the log is unavailable");
     }
     folded
 }
 
-/// Units kept here that another gate should keep.
-fn better_keepers(tables: &Tables) -> Vec<(Unit, String)> {
+/// Resources of this gate that another gate should coordinate.
+fn better_coordinators(tables: &Tables) -> Vec<(Unit, String)> {
     let view = tables.view.load();
     let up = || view.peering.gates.keys().map(String::as_str);
-    let better = |unit: &Unit| {
-        let best = winner(up(), &unit.to_string())?;
+    let better = |resource: &Unit| {
+        let best = winner(up(), &resource.to_string())?;
         (best != tables.name()).then(|| best.to_string())
     };
-    let units = tables.books(|b| b.units());
-    units.into_iter().filter_map(|u| Some((u.clone(), better(&u)?))).collect()
+    let resources = tables.resources(|b| b.resources());
+    resources.into_iter().filter_map(|u| Some((u.clone(), better(&u)?))).collect()
 }
--- a/crates/gate/src/refusal.rs
+++ b/crates/gate/src/refusal.rs
@@ -1,4 +1,4 @@
-//! The answers that the gate gives itself.
+//! The answers with which the gate itself refuses requests.
 
 use std::time::Duration;
 
@@ -9,13 +9,13 @@
 
 use myrtle_base::Kind;
 
-/// Says whether a request was run, in every answer of the gate itself.
+/// Header that says whether a request was run, in every answer of the gate itself.
 pub const RAN: &str = "myrtle-ran";
 
-/// Names the kind of a refusal.
+/// Header that names the kind of a refusal.
 pub const KIND: &str = "myrtle-kind";
 
-/// A refusal of `kind`; `detail` says what exactly is wrong, and may be empty.
+/// A refusal of `kind`; `detail` is the exact cause, or empty.
 pub fn refusal(kind: Kind, after: Option<Duration>, detail: &str) -> Response<Full<Bytes>> {
     let detail = if detail.is_empty() { kind.hint() } else { detail };
     let after_ms = after.map_or(0, |a| a.as_millis() as u64);
@@ -38,7 +38,7 @@
     };
     headers.insert(RAN, HeaderValue::from_static(ran));
     if let Some(after) = after {
-        // The header counts whole seconds; the body tells milliseconds.
+        // The header has whole seconds, the body milliseconds.
         let seconds = after.as_secs_f64().ceil() as u64;
         headers.insert(RETRY_AFTER, HeaderValue::from(seconds.max(1)));
     }
--- a/crates/gate/src/rpc.rs
+++ b/crates/gate/src/rpc.rs
@@ -1,4 +1,4 @@
-//! Answers the calls of other gates.
+//! Answers calls of other gates.
 
 use std::sync::Arc;
 
@@ -7,26 +7,26 @@
 
 use myrtle_base::Stamp;
 use myrtle_cell::Unit;
-use myrtle_peer::{Done, GatePeer, HandOver, LendReply};
-use myrtle_route::{Ask, Begin};
+use myrtle_peer::{CoordinatorReply, Done, GatePeer, ResourceState};
+use myrtle_route::{Ask, Decision};
 
 use crate::keyed;
 use crate::tables::Tables;
 
-/// The service towards other gates.
+/// The service for other gates.
 #[derive(Debug, Clone)]
 pub struct Server(pub Arc<Tables>);
 
 impl GatePeer for Server {
-    async fn lend(
+    async fn allocate(
         self,
         _: Context,
         gate: String,
-        boot: u64,
+        incarnation: u64,
         seq: u64,
         asks: Vec<(Unit, Ask)>,
-    ) -> LendReply {
-        self.0.lend(&gate, boot, seq, asks)
+    ) -> CoordinatorReply {
+        self.0.allocate(&gate, incarnation, seq, asks)
     }
 
     async fn begin(
@@ -35,16 +35,16 @@
         stamp: Stamp,
         key: Uuid,
         hash: u64,
-        holder: u64,
-        passed: bool,
-    ) -> Begin {
+        runner: u64,
+        forwarded: bool,
+    ) -> Decision {
         self.0.ring.clock().merge(stamp);
-        keyed::begin_for(&self.0, key, hash, holder, passed).await
+        keyed::begin_for(&self.0, key, hash, runner, forwarded).await
     }
 
-    async fn end(self, _: Context, stamp: Stamp, key: Uuid, done: Done, passed: bool) {
+    async fn end(self, _: Context, stamp: Stamp, key: Uuid, done: Done, forwarded: bool) {
         self.0.ring.clock().merge(stamp);
-        keyed::end_for(&self.0, key, done, passed).await;
+        keyed::end_for(&self.0, key, done, forwarded).await;
     }
 
     async fn stop(self, _: Context) -> bool {
@@ -53,10 +53,10 @@
         true
     }
 
-    async fn take(self, _: Context, unit: Unit, from: String, over: HandOver) -> bool {
+    async fn receive(self, _: Context, resource: Unit, from: String, state: ResourceState) -> bool {
         let now = self.0.now();
-        self.0.ring.add("gate", format!("takes {unit} from {from}"));
-        self.0.books(|b| b.expect(unit, over, now));
+        self.0.ring.add("gate", format!("receives {resource} from {from}"));
+        self.0.resources(|b| b.receive(resource, state, now));
         true
     }
 }
--- a/crates/gate/src/run.rs
+++ b/crates/gate/src/run.rs
@@ -1,4 +1,4 @@
-//! Starts all parts of a gate and stops it as planned.
+//! Starts all tasks of a gate and stops it as planned.
 
 use std::convert::Infallible;
 use std::net::SocketAddr;
@@ -25,25 +25,25 @@
 use crate::rpc::Server;
 use crate::serve::{Reply, serve};
 use crate::tables::Tables;
-use crate::{admin, borrow, drain, follow, rebalance, usage};
+use crate::{acquire, admin, drain, follow, rebalance, usage};
 
 /// How long a caller may take to send the head of a request.
-const HEAD: Duration = Duration::from_secs(5);
+const HEAD_TIMEOUT: Duration = Duration::from_secs(5);
 
 /// How long connections of callers may take to close at a stop.
-const CLOSE: Duration = Duration::from_secs(2);
+const CLOSE_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// A running gate; dropping it stops all its parts at once.
+/// A running gate; dropping it stops all its tasks at once.
 #[derive(Debug)]
 pub struct Gate {
-    /// Where it answers callers and operators.
+    /// The address for callers and operators.
     pub http: SocketAddr,
-    /// Where it answers peers.
+    /// The address for peers.
     pub peer: SocketAddr,
     tables: Arc<Tables>,
     stop: watch::Sender<bool>,
     accepting: JoinSet<GracefulShutdown>,
-    _parts: JoinSet<()>,
+    _tasks: JoinSet<()>,
 }
 
 impl Gate {
@@ -52,8 +52,8 @@
         self.tables.ready()
     }
 
-    /// Whether every bucket of keys has a keeper and nothing has to be handed on among `gates`
-    /// gates, as far as this gate knows.
+    /// Whether every bucket of keys has a coordinator and nothing has to be transferred among
+    /// `gates` gates, according to this gate's view.
     pub fn settled(&self, gates: usize) -> bool {
         self.tables.view.load().peering.gates.len() == gates && rebalance::settled(&self.tables)
     }
@@ -63,14 +63,14 @@
         self.tables.stop.notified().await;
     }
 
-    /// Stops as planned; returns whether everything in flight was finished.
+    /// Stops as planned; returns whether all requests in flight were finished.
     pub async fn drain(mut self) -> bool {
         drain::announce(&self.tables).await;
         let _ = self.stop.send(true);
         let finished = drain::finish(&self.tables).await;
         drain::leave(&self.tables).await;
         if let Some(Ok(connections)) = self.accepting.join_next().await {
-            let _ = tokio::time::timeout(CLOSE, connections.shutdown()).await;
+            let _ = tokio::time::timeout(CLOSE_TIMEOUT, connections.shutdown()).await;
         }
         finished
     }
@@ -85,9 +85,9 @@
     info!("gate: {} answers at {http_at}, peers at {peer_at}", tables.name());
     tables.ring.add("gate", "started");
 
-    let mut parts = JoinSet::new();
+    let mut tasks = JoinSet::new();
     let server = Server(tables.clone());
-    parts.spawn(async move {
+    tasks.spawn(async move {
         let run = |channel: Wired<GatePeerRequest, GatePeerResponse>| {
             myrtle_peer::run!(channel, server.clone().serve());
         };
@@ -95,16 +95,16 @@
     });
     let (list, settings) = (&tables.list, &tables.settings);
     announce(list, settings, Role::Gate, http_at, peer_at).await;
-    parts.spawn(follow::follow_list(tables.clone()));
-    parts.spawn(follow::follow_view(tables.clone()));
-    parts.spawn(follow::renew(tables.clone()));
-    parts.spawn(rebalance::run(tables.clone()));
-    parts.spawn(borrow::run(tables.clone()));
-    parts.spawn(usage::run(tables.clone()));
+    tasks.spawn(follow::follow_list(tables.clone()));
+    tasks.spawn(follow::follow_view(tables.clone()));
+    tasks.spawn(follow::renew(tables.clone()));
+    tasks.spawn(rebalance::run(tables.clone()));
+    tasks.spawn(acquire::run(tables.clone()));
+    tasks.spawn(usage::run(tables.clone()));
     let (stop, stopped) = watch::channel(false);
     let mut accepting = JoinSet::new();
     accepting.spawn(accept(tables.clone(), http, stopped));
-    Ok(Gate { http: http_at, peer: peer_at, tables, stop, accepting, _parts: parts })
+    Ok(Gate { http: http_at, peer: peer_at, tables, stop, accepting, _tasks: tasks })
 }
 
 /// Accepts callers until the gate stops; returns the connections that are still open.
@@ -118,7 +118,7 @@
         tokio::select! {
             accepted = listener.accept() => {
                 if let Ok((stream, _)) = accepted {
-                    connection(&tables, stream, &connections);
+                    serve_caller(&tables, stream, &connections);
                 }
             }
             _ = stopped.changed() => return connections,
@@ -126,13 +126,13 @@
     }
 }
 
-fn connection(tables: &Arc<Tables>, stream: TcpStream, connections: &GracefulShutdown) {
+fn serve_caller(tables: &Arc<Tables>, stream: TcpStream, connections: &GracefulShutdown) {
     let _ = stream.set_nodelay(true);
     let tables = tables.clone();
     let service = service_fn(move |request| answer(tables.clone(), request));
     let connection = http1::Builder::new()
         .timer(TokioTimer::new())
-        .header_read_timeout(HEAD)
+        .header_read_timeout(HEAD_TIMEOUT)
         .serve_connection(TokioIo::new(stream), service);
     tokio::spawn(connections.watch(connection));
 }
--- a/crates/gate/src/serve.rs
+++ b/crates/gate/src/serve.rs
@@ -1,4 +1,4 @@
-//! The way of a request from its caller to an upstream and back.
+//! Serves a request: admission, the attempts at upstreams, and the answer.
 
 use std::convert::Infallible;
 use std::pin::Pin;
@@ -17,27 +17,27 @@
 use myrtle_base::Kind;
 use myrtle_route::{Arrival, Ticket};
 
-use crate::attempt::{self, Outcome, Payload, Slot, passed};
-use crate::call::{Call, Fault};
+use crate::attempt::{self, Outcome, Payload, Slot, forwarded_headers};
+use crate::call::{Call, Invalid};
 use crate::exchange::exchange;
 use crate::rate::take_rate;
 use crate::refusal::{RAN, refusal};
 use crate::tables::Tables;
 
 /// How long a caller may take to send its body.
-const BODY: Duration = Duration::from_secs(5);
+const BODY_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// An answer to a caller: whole, or passed on as it comes.
-pub type Reply = Response<Either<Full<Bytes>, Passing>>;
+/// An answer to a caller, either complete or streamed.
+pub type Reply = Response<Either<Full<Bytes>, StreamedBody>>;
 
-/// An upstream's answer that is passed on as it comes, with the slot that it holds.
+/// An upstream's answer that is streamed to the caller, with the slot that it uses.
 #[derive(Debug)]
-pub struct Passing {
+pub struct StreamedBody {
     body: Incoming,
     _slot: Slot,
 }
 
-impl Body for Passing {
+impl Body for StreamedBody {
     type Data = Bytes;
     type Error = hyper::Error;
 
@@ -57,25 +57,25 @@
     }
 }
 
-/// A refusal in the making.
+/// Why a request is refused.
 #[derive(Debug)]
 pub struct Refusal {
-    /// Its kind.
+    /// The kind of refusal.
     pub kind: Kind,
-    /// When to come back.
+    /// How long the caller should wait before it repeats the request.
     pub after: Option<Duration>,
-    /// What exactly is wrong.
+    /// The exact cause; empty if the kind says all.
     pub detail: String,
 }
 
-impl From<Fault> for Refusal {
-    fn from((kind, detail): Fault) -> Self {
+impl From<Invalid> for Refusal {
+    fn from((kind, detail): Invalid) -> Self {
         Self { kind, after: None, detail }
     }
 }
 
 impl Refusal {
-    /// A refusal that says when to come back.
+    /// A refusal with the time after which to repeat the request.
     pub fn after(kind: Kind, after: Duration) -> Self {
         Self { kind, after: Some(after), detail: String::new() }
     }
@@ -87,21 +87,21 @@
     }
 }
 
-/// Serves one request to its end, even if its caller goes away.
+/// Serves one request to its end, even if its caller disconnects.
 pub async fn serve(tables: Arc<Tables>, request: Request<Incoming>) -> Result<Reply, Infallible> {
-    let served = tokio::spawn(serve_whole(tables, request)).await;
+    let served = tokio::spawn(serve_to_end(tables, request)).await;
     Ok(served.unwrap_or_else(|_| refusal(Kind::Unknown, None, "").map(Either::Left)))
 }
 
-async fn serve_whole(tables: Arc<Tables>, request: Request<Incoming>) -> Reply {
-    let began = tables.now();
+async fn serve_to_end(tables: Arc<Tables>, request: Request<Incoming>) -> Reply {
+    let started_at = tables.now();
     let (head, body) = request.into_parts();
     let view = tables.view.load_full();
     let (class, result) = match Call::read(&head, &view) {
-        Ok(call) => (call.class.clone(), admitted(&tables, &call, head, body, began).await),
+        Ok(call) => (call.class.clone(), serve_valid(&tables, &call, head, body, started_at).await),
         Err(fault) => (String::new(), Err(fault.into())),
     };
-    let took = tables.now().saturating_sub(began);
+    let took = tables.now().saturating_sub(started_at);
     match result {
         Ok(reply) => {
             tables.meter.took("myrtle_answer_us", &class, took);
@@ -115,19 +115,19 @@
     }
 }
 
-/// Serves a request whose marks are in order.
-async fn admitted(
+/// Serves a request whose headers are valid.
+async fn serve_valid(
     tables: &Arc<Tables>,
     call: &Call,
     head: Parts,
     body: Incoming,
-    began: Duration,
+    started_at: Duration,
 ) -> Result<Reply, Refusal> {
-    let deadline = began + call.limit;
+    let deadline = started_at + call.limit;
     if let Some(key) = call.key.filter(|_| !call.safe && !call.watch) {
         let body = read_body(call, body).await?;
-        // The keeper is asked first: whatever refuses the request after it is told to the keeper,
-        // so that "not run" is true of the key and not only of this sending.
+        // The coordinator is asked first and gets the outcome of every later step, refusals
+        // included, so that "not run" holds for the key and not only for this attempt.
         return crate::keyed::serve(tables, call, head, body, deadline, key).await;
     }
     take_rate(tables, call, deadline).await?;
@@ -136,10 +136,10 @@
     }
     let body = read_body(call, body).await?;
     let answer = exchange(tables, call, &Arc::new(head), &body, deadline).await?;
-    Ok(whole(answer))
+    Ok(complete(answer))
 }
 
-/// Passes a long-held exchange through, both ways.
+/// Streams a long-lived request and its answer in both directions.
 async fn watch(
     tables: &Arc<Tables>,
     call: &Call,
@@ -152,17 +152,17 @@
     match run.await {
         Outcome::Stream(answer, slot) => {
             let (mut head, body) = answer.into_parts();
-            head.headers = passed(&head.headers);
-            note_served(tables, call, Duration::ZERO);
-            Ok(Response::from_parts(head, Either::Right(Passing { body, _slot: slot })))
+            head.headers = forwarded_headers(&head.headers);
+            record_usage(tables, call, Duration::ZERO);
+            Ok(Response::from_parts(head, Either::Right(StreamedBody { body, _slot: slot })))
         }
-        Outcome::Answer(answer) => Ok(whole(answer)),
+        Outcome::Answer(answer) => Ok(complete(answer)),
         Outcome::NotRun => Err(Refusal::after(Kind::NoUpstream, Duration::from_millis(500))),
         Outcome::Unknown => Err(Kind::Unknown.into()),
     }
 }
 
-/// Waits for a slot, or for a refusal.
+/// Waits for a slot or a refusal.
 pub async fn slot(
     tables: &Arc<Tables>,
     call: &Call,
@@ -170,17 +170,17 @@
     avoid: Option<u32>,
 ) -> Result<Slot, Refusal> {
     let now = tables.now();
-    let arrival = Arrival { id: 0, party: call.number, price: call.price, deadline };
-    let entered = tables.core(|cores| {
-        let core = cores.get_mut(&call.service).ok_or(Kind::NoUpstream)?;
-        Ok(core.enter(arrival, now, avoid))
+    let arrival = Arrival { id: 0, party: call.customer_number, price: call.price, deadline };
+    let entered = tables.queues(|queues| {
+        let queue = queues.get_mut(&call.service).ok_or(Kind::NoUpstream)?;
+        Ok(queue.enter(arrival, now, avoid))
     });
     let ticket: Ticket =
         match entered.map_err(|k: Kind| Refusal::after(k, Duration::from_secs(1)))? {
             Ok(ticket) => ticket,
-            Err(turn) => {
-                tables.needy.notify_one();
-                match turn.await {
+            Err(result) => {
+                tables.more_needed.notify_one();
+                match result.await {
                     Ok(Ok(ticket)) => ticket,
                     Ok(Err((kind, after))) => return Err(Refusal::after(kind, after)),
                     Err(_) => return Err(Refusal::after(Kind::NotReady, Duration::from_secs(1))),
@@ -192,7 +192,7 @@
 
 async fn read_body(call: &Call, body: Incoming) -> Result<Bytes, Refusal> {
     let limited = Limited::new(body, call.max_body as usize).collect();
-    match timeout(BODY.min(call.limit), limited).await {
+    match timeout(BODY_TIMEOUT.min(call.limit), limited).await {
         Ok(Ok(body)) => Ok(body.to_bytes()),
         Ok(Err(e)) if e.is::<LengthLimitError>() => {
             let detail = format!("the body is larger than {} bytes", call.max_body);
@@ -203,20 +203,20 @@
     }
 }
 
-/// Counts what a party used.
-pub fn note_served(tables: &Tables, call: &Call, busy: Duration) {
+/// Adds a served request to its customer's usage.
+pub fn record_usage(tables: &Tables, call: &Call, busy: Duration) {
     tables.served(|served| {
-        let used = served.entry((call.party.clone(), call.class.clone())).or_default();
+        let used = served.entry((call.customer.clone(), call.class.clone())).or_default();
         used.requests += 1;
-        // Whole milliseconds are paid for, at least one.
+        // Usage is charged in whole milliseconds, at least one.
         used.busy.0 += (busy.as_millis() as u64).max(1);
     });
 }
 
-/// An upstream's whole answer as the caller gets it.
-pub fn whole(answer: Response<Bytes>) -> Reply {
+/// Turns an upstream's complete answer into the answer to the caller.
+pub fn complete(answer: Response<Bytes>) -> Reply {
     let (mut head, body) = answer.into_parts();
-    head.headers = passed(&head.headers);
+    head.headers = forwarded_headers(&head.headers);
     head.headers.insert(RAN, HeaderValue::from_static("yes"));
     Response::from_parts(head, Either::Left(Full::from(body)))
 }
--- a/crates/gate/src/tables.rs
+++ b/crates/gate/src/tables.rs
@@ -1,4 +1,4 @@
-//! The tables that all parts of the process share.
+//! The tables that all tasks of the process share.
 
 use std::collections::{BTreeMap, HashMap};
 use std::net::SocketAddr;
@@ -17,10 +17,10 @@
 use myrtle_peer::{GatePeerClient, Link, SchedPeerClient};
 use myrtle_platform::{Caller, HostList};
 
-use crate::core::Core;
-use crate::keeper::Books;
-use crate::life::{Event, Life, State};
+use crate::coordinator::Resources;
+use crate::lifecycle::{Event, Lifecycle, State};
 use crate::pool::Pool;
+use crate::queue::ServiceQueue;
 use crate::view::View;
 
 /// Connections to other processes.
@@ -32,33 +32,33 @@
     pub gates: HashMap<SocketAddr, Arc<Link<GatePeerClient>>>,
 }
 
-/// What was served, by party and class.
+/// What was served, by customer and class.
 pub type Served = BTreeMap<(String, String), Usage>;
 
-/// Everything shared.
+/// All shared state.
 pub struct Tables {
     /// The process's settings.
     pub settings: Settings,
-    /// The events.
+    /// The event log for operators.
     pub ring: Ring,
-    /// The figures.
+    /// The metrics.
     pub meter: Meter,
     /// The host list.
     pub list: HostList,
-    /// What requests need, read without a lock.
+    /// The configuration and the cell, read without a lock.
     pub view: ArcSwap<View>,
-    /// Asks the process to stop as planned.
+    /// Notified when the process should stop as planned.
     pub stop: Notify,
-    /// Wakes the borrower when more slots are needed.
-    pub needy: Notify,
-    /// Wakes requests that wait for a token when a keeper has lent.
-    pub lent: Notify,
+    /// Notified when more slots or tokens are needed.
+    pub more_needed: Notify,
+    /// Notified when a coordinator has replied, for requests that wait for a token.
+    pub allocated: Notify,
     start: Instant,
-    boot: AtomicU64,
+    incarnation: AtomicU64,
     lease: AtomicU64,
-    life: Mutex<StateMachine<Life>>,
-    core: Mutex<BTreeMap<String, Core>>,
-    books: Mutex<Books>,
+    lifecycle: Mutex<StateMachine<Lifecycle>>,
+    queues: Mutex<BTreeMap<String, ServiceQueue>>,
+    resources: Mutex<Resources>,
     peers: Mutex<Peers>,
     pool: Mutex<Pool>,
     served: Mutex<Served>,
@@ -89,14 +89,14 @@
             list: HostList::new(Caller::default(), settings.platform.hosts),
             view: ArcSwap::default(),
             stop: Notify::new(),
-            needy: Notify::new(),
-            lent: Notify::new(),
+            more_needed: Notify::new(),
+            allocated: Notify::new(),
             start: Instant::now(),
-            boot: AtomicU64::new(wall().0),
+            incarnation: AtomicU64::new(wall().0),
             lease: AtomicU64::new(0),
-            life: Mutex::new(Life.state_machine()),
-            core: Mutex::default(),
-            books: Mutex::default(),
+            lifecycle: Mutex::new(Lifecycle.state_machine()),
+            queues: Mutex::default(),
+            resources: Mutex::default(),
             peers: Mutex::default(),
             pool: Mutex::default(),
             served: Mutex::default(),
@@ -107,11 +107,11 @@
 
     table!(
         /// Slots and waiting requests, by service; first in the lock order.
-        core: BTreeMap<String, Core>
+        queues: BTreeMap<String, ServiceQueue>
     );
     table!(
-        /// What this gate keeps; second in the lock order.
-        books: Books
+        /// Resources that this gate coordinates; second in the lock order.
+        resources: Resources
     );
     table!(
         /// Connections to other processes; third in the lock order.
@@ -126,16 +126,20 @@
         served: Served
     );
     table!(
-        /// What of it was reported; last in the lock order.
+        /// The part of what was served that was reported; last in the lock order.
         reported: Served
     );
 
-    /// Looks at the slots of one service, if it is configured.
-    pub fn with_core<R>(&self, service: &str, look: impl FnOnce(&mut Core) -> R) -> Option<R> {
-        self.core(|cores| cores.get_mut(service).map(look))
+    /// Calls `look` with the queue of one service, if it is configured.
+    pub fn with_queue<R>(
+        &self,
+        service: &str,
+        look: impl FnOnce(&mut ServiceQueue) -> R,
+    ) -> Option<R> {
+        self.queues(|queues| queues.get_mut(service).map(look))
     }
 
-    /// The process's own clock.
+    /// Time since the start of the process.
     pub fn now(&self) -> Duration {
         self.start.elapsed()
     }
@@ -145,15 +149,15 @@
         &self.settings.name
     }
 
-    /// The life of this gate; a new one begins whenever its lease has lapsed.
-    pub fn boot(&self) -> u64 {
-        self.boot.load(Ordering::Acquire)
+    /// The incarnation of this gate; a new one begins whenever its lease has expired.
+    pub fn incarnation(&self) -> u64 {
+        self.incarnation.load(Ordering::Acquire)
     }
 
-    /// Begins a new life.
-    pub fn reborn(&self) {
-        let next = wall().0.max(self.boot() + 1);
-        self.boot.store(next, Ordering::Release);
+    /// Begins a new incarnation.
+    pub fn next_incarnation(&self) {
+        let next = wall().0.max(self.incarnation() + 1);
+        self.incarnation.store(next, Ordering::Release);
     }
 
     /// When this gate's lease ends, by its own clock.
@@ -161,36 +165,36 @@
         Duration::from_millis(self.lease.load(Ordering::Acquire))
     }
 
-    /// Takes in a renewed lease.
+    /// Applies a renewed lease.
     pub fn set_lease(&self, until: Millis) {
         self.lease.fetch_max(until.0, Ordering::AcqRel);
     }
 
-    /// How long the lease still runs.
+    /// The remaining time of the lease.
     pub fn lease_left(&self) -> Duration {
         self.lease().saturating_sub(self.now())
     }
 
-    /// Whether this gate's present life is up in the newest view.
-    pub fn entered(&self) -> bool {
-        self.view.load().peering.gates.get(self.name()) == Some(&self.boot())
+    /// Whether this gate's incarnation is up in the newest view.
+    pub fn is_listed(&self) -> bool {
+        self.view.load().peering.gates.get(self.name()) == Some(&self.incarnation())
     }
 
-    /// Takes in an event of the gate's life.
-    pub fn live(&self, event: Event) {
-        let mut life = self.life.lock().expect("no holder panics");
-        let before = life.state().clone();
-        life.handle(&event);
-        let after = life.state().clone();
-        drop(life);
+    /// Passes an event to the state machine of the gate.
+    pub fn handle_event(&self, event: Event) {
+        let mut lifecycle = self.lifecycle.lock().expect("no holder panics");
+        let before = lifecycle.state().clone();
+        lifecycle.handle(&event);
+        let after = lifecycle.state().clone();
+        drop(lifecycle);
         if before != after {
             self.ring.add("gate", format!("{before:?} to {after:?}"));
         }
     }
 
-    /// Where the gate stands in its life.
+    /// The state of the gate.
     pub fn state(&self) -> State {
-        self.life.lock().expect("no holder panics").state().clone()
+        self.lifecycle.lock().expect("no holder panics").state().clone()
     }
 
     /// Whether the gate serves.
@@ -203,7 +207,7 @@
         self.peers(|p| p.gates.entry(at).or_insert_with(|| Arc::new(Link::new(at))).clone())
     }
 
-    /// The connections to the scheds of the data centre, this host's own order of preference.
+    /// The connections to the scheds of the data centre, in this gate's own order of preference.
     pub fn sched_links(&self) -> Vec<Arc<Link<SchedPeerClient>>> {
         let mut links: Vec<_> =
             self.peers(|p| p.scheds.iter().map(|(n, l)| (n.clone(), l.clone())).collect());
--- a/crates/gate/src/view.rs
+++ b/crates/gate/src/view.rs
@@ -1,4 +1,4 @@
-//! What the request path needs of the configuration, read without a lock.
+//! What the request path needs of the configuration and the cell, read without a lock.
 
 use std::collections::{BTreeMap, HashMap};
 use std::net::SocketAddr;
@@ -10,20 +10,20 @@
 use myrtle_config::{Desired, Service};
 use myrtle_peer::Peering;
 
-/// A party as requests need it.
+/// A customer as the request path needs it.
 #[derive(Debug, Clone)]
-pub struct Party {
+pub struct Customer {
     /// Its name.
     pub name: String,
-    /// Its number in this view's order; stable while no party comes or goes.
+    /// Its number in this view, which changes only when customers are added or removed.
     pub number: u32,
-    /// Requests a second it may send in this data centre.
+    /// Requests a second that it may send in this data centre.
     pub rate: u32,
-    /// The classes it may use; the first one is its default.
+    /// The classes that it may use; the first one is its default.
     pub classes: Vec<String>,
 }
 
-/// A class as requests need it.
+/// A class as the request path needs it.
 #[derive(Debug, Clone, Copy)]
 pub struct Class {
     /// Its price.
@@ -32,30 +32,30 @@
     pub deadline: Duration,
 }
 
-/// The configuration and the cell as this gate knows them.
+/// The configuration and the cell, as this gate last received them.
 #[derive(Debug, Default)]
 pub struct View {
     /// The version of the platform scope, 0 for none.
     pub version: u64,
-    /// Parties by the hash of their token.
-    pub parties: HashMap<[u8; 32], Party>,
+    /// Customers by the hash of their token.
+    pub customers: HashMap<[u8; 32], Customer>,
     /// Classes by name.
     pub classes: BTreeMap<String, Class>,
     /// Services by name.
     pub services: BTreeMap<String, Service>,
     /// The data centres by name.
     pub centres: Vec<String>,
-    /// Who keeps what and who is where.
+    /// The coordinators, gates and upstreams of the cell.
     pub peering: Peering,
 }
 
 impl View {
     /// The view with another platform scope.
     pub fn with_platform(&self, version: u64, desired: &Desired) -> Self {
-        let parties = desired.parties.iter().enumerate().filter_map(|(n, (name, party))| {
+        let customers = desired.parties.iter().enumerate().filter_map(|(n, (name, customer))| {
             let (name, number) = (name.clone(), n as u32);
-            let (rate, classes) = (party.rate, party.classes.clone());
-            Some((unhex(&party.token_sha256)?, Party { name, number, rate, classes }))
+            let (rate, classes) = (customer.rate, customer.classes.clone());
+            Some((decode_hash(&customer.token_sha256)?, Customer { name, number, rate, classes }))
         });
         let classes = desired.classes.iter().map(|(name, class)| {
             let price = class.price.try_into().unwrap_or(u32::MAX);
@@ -63,7 +63,7 @@
         });
         Self {
             version,
-            parties: parties.collect(),
+            customers: customers.collect(),
             classes: classes.collect(),
             services: desired.services.clone(),
             centres: desired.data_centres.keys().cloned().collect(),
@@ -75,7 +75,7 @@
     pub fn with_peering(&self, peering: Peering) -> Self {
         Self {
             version: self.version,
-            parties: self.parties.clone(),
+            customers: self.customers.clone(),
             classes: self.classes.clone(),
             services: self.services.clone(),
             centres: self.centres.clone(),
@@ -83,10 +83,10 @@
         }
     }
 
-    /// The party that a token belongs to.
-    pub fn party(&self, token: &str) -> Result<&Party, Kind> {
+    /// The customer that a token belongs to.
+    pub fn customer(&self, token: &str) -> Result<&Customer, Kind> {
         let hash: [u8; 32] = Sha256::digest(token.as_bytes()).into();
-        self.parties.get(&hash).ok_or(Kind::NoToken)
+        self.customers.get(&hash).ok_or(Kind::NoToken)
     }
 
     /// Where a gate of this or another data centre listens for peers.
@@ -95,7 +95,7 @@
     }
 }
 
-fn unhex(text: &str) -> Option<[u8; 32]> {
+fn decode_hash(text: &str) -> Option<[u8; 32]> {
     let mut bytes = [0; 32];
     if text.len() != 64 || !text.is_ascii() {
         return None;
--- a/crates/gate/tests/common/mod.rs
+++ b/crates/gate/tests/common/mod.rs
@@ -1,4 +1,5 @@
-//! A data centre in one process: stand-ins, scheds and gates, on ports of the system's choice.
+//! A data centre in one process: simulated platform, scheds and gates, on ports chosen by the
+//! system.
 
 #![allow(dead_code)]
 
@@ -26,7 +27,7 @@
     pub http: Client<hyper_util::client::legacy::connect::HttpConnector, Full<Bytes>>,
 }
 
-/// An answer as a caller sees it.
+/// An answer as the caller receives it.
 #[derive(Debug)]
 pub struct Got {
     pub status: u16,
@@ -40,13 +41,13 @@
         self.headers.get("myrtle-kind").map_or("", |v| v.to_str().unwrap_or_default())
     }
 
-    /// What the gate says on whether it ran.
+    /// What the gate reports on whether the request ran.
     pub fn ran(&self) -> &str {
         self.headers.get("myrtle-ran").map_or("", |v| v.to_str().unwrap_or_default())
     }
 }
 
-/// What a caller sends.
+/// A request to send.
 #[derive(Debug, Clone)]
 pub struct Send {
     pub method: &'static str,
@@ -55,7 +56,7 @@
 }
 
 impl Send {
-    /// A request of helios with an id.
+    /// A request of the customer helios with an id.
     pub fn new(method: &'static str, id: &str) -> Self {
         let send = Self { method, headers: Vec::new(), body: String::new() };
         send.with("authorization", "Bearer demo-helios").with("x-request-id", id)
@@ -77,7 +78,7 @@
     }
 }
 
-/// The desired state of the test site; `jobs` is put at its end.
+/// The desired state of the test site; `jobs` is appended.
 pub fn desired(rate: u32, jobs: &str) -> String {
     let token = hash_token("demo-helios");
     let other = hash_token("demo-kyma");
@@ -97,7 +98,7 @@
         Self::with(workers, gates, &desired(100_000, "")).await
     }
 
-    /// Starts a site with a desired state of its own.
+    /// Starts a site with the given desired state.
     pub async fn with(workers: usize, gates: usize, desired: &str) -> Self {
         let plan = Plan { workers, ..Plan::default() };
         let world = World::start(&plan).await.unwrap();
@@ -127,7 +128,7 @@
         until("all gates are ready", || self.gates.iter().all(Gate::ready)).await;
     }
 
-    /// Gives an order to the stand-ins.
+    /// Changes the behaviour of the simulated platform.
     pub fn order(&self, control: Control) {
         self.world.control(control).unwrap();
     }
@@ -143,13 +144,13 @@
         send_to(&self.http, self.gates[gate].http, send).await
     }
 
-    /// How often a request with this id was begun by an upstream.
+    /// How often upstreams began a request with this id.
     pub fn runs(&self, id: &str) -> u32 {
         self.world.record.summary().requests.get(id).copied().unwrap_or_default()
     }
 }
 
-/// Sends a request; nothing if there was no whole answer.
+/// Sends a request; nothing if there was no complete answer.
 pub async fn send_to(
     http: &Client<hyper_util::client::legacy::connect::HttpConnector, Full<Bytes>>,
     at: SocketAddr,
--- a/crates/gate/tests/rates.rs
+++ b/crates/gate/tests/rates.rs
@@ -1,22 +1,19 @@
-//! Rates of parties that come to a gate out of quiet.
+//! Rates of customers that send a burst after a time without requests.
 
 mod common;
 
 use common::{Send, Site, desired};
 use futures::future::join_all;
 
-/// Requests at once, a third of the party's rate.
+/// Concurrent requests, about a third of the customer's rate.
 const BURST: usize = 30;
 
-/// Symptom: a party that sends 20 requests a second of its 100 gets `over_limit`, beside busy loops.
-/// Sequence: it was quiet, so its gate holds a sixteenth of its rate; it sends more than that
-/// before the gate has asked the keeper for more.
-/// Cause: the gate refused what found no token in its own share without asking the keeper, which
-/// had the rest of the rate unlent.
-/// Settled by: the refused answers were 429 `over_limit` with 7 to 75 ms to wait, within 0.85 s of
-/// the first request, and none after the share had grown.
+/// Guards against refusing a customer that stays below its rate. While the customer sent nothing,
+/// its gate requested only a sixteenth of the rate; a burst takes more tokens than that before the
+/// gate has asked the coordinator for more. Such requests must wait for the larger allocation
+/// instead of being refused as `over_limit`.
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn a_party_out_of_quiet_is_not_refused_while_its_keeper_has_more_to_lend() {
+async fn a_burst_is_not_refused_while_the_coordinator_can_allocate_more() {
     let site = Site::with(2, 3, &desired(100, "")).await;
     let sends = (0..BURST).map(|n| {
         let site = &site;
--- a/crates/gate/tests/requests.rs
+++ b/crates/gate/tests/requests.rs
@@ -1,4 +1,4 @@
-//! Requests through real gates to upstreams that fail in every way.
+//! Requests through real gates to upstreams with faults of every kind.
 
 mod common;
 
@@ -12,7 +12,7 @@
 
 use myrtle_standin::{Control, LogMode, UpstreamMode, body_mark, until};
 
-/// Names a case that runs on a site with some workers and gates.
+/// Defines a test on a site with some workers and gates.
 macro_rules! case {
     ($name:ident, $workers:literal, $gates:literal, $site:ident => $body:block) => {
         #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
@@ -24,13 +24,13 @@
     };
 }
 
-fn all(site: &Site, mode: UpstreamMode) {
+fn set_all(site: &Site, mode: UpstreamMode) {
     for name in site.workers() {
         site.order(Control::Upstream(name, mode));
     }
 }
 
-case!(an_answer_is_whole_and_its_callers_own, 2, 2, site => {
+case!(an_answer_is_complete_and_reaches_its_caller, 2, 2, site => {
     let sends = (0..200).map(|n| {
         let site = &site;
         async move {
@@ -46,7 +46,7 @@
     join_all(sends).await;
 });
 
-case!(callers_without_a_token_are_told_so, 1, 1, site => {
+case!(callers_without_a_valid_token_are_refused, 1, 1, site => {
     let got = site.send(0, &Send::new("GET", "a").with("authorization", "Bearer x")).await.unwrap();
     assert_eq!((got.status, got.kind(), got.ran()), (401, "no_token", "no"));
     let kyma = Send::new("GET", "b").with("authorization", "Bearer demo-kyma");
@@ -84,21 +84,22 @@
     assert_eq!(site.runs("slow"), 0);
 });
 
-case!(an_upstream_that_did_not_run_it_is_not_the_last_one_asked, 4, 1, site => {
+case!(a_request_that_an_upstream_refused_is_tried_elsewhere, 4, 1, site => {
     for name in site.workers().into_iter().take(2) {
         site.order(Control::Upstream(name, UpstreamMode::Refuse));
     }
     for n in 0..40 {
         let id = format!("moved-{n}");
         let got = site.send(0, &Send::new("POST", &id)).await.unwrap();
-        // An unsafe request goes on elsewhere too, since the first one surely did not run it.
+        // An unsafe request is tried elsewhere too, since the first upstream certainly did not run
+        // it.
         assert!(got.status == 200 || got.kind() == "no_upstream", "{got:?}");
         assert_eq!(site.runs(&id), u32::from(got.status == 200));
     }
 });
 
-case!(a_refusal_as_not_run_is_true, 2, 1, site => {
-    all(&site, UpstreamMode::Refuse);
+case!(a_request_refused_as_not_run_did_not_run, 2, 1, site => {
+    set_all(&site, UpstreamMode::Refuse);
     let got = site.send(0, &Send::new("GET", "refused")).await.unwrap();
     assert_eq!((got.kind(), got.ran()), ("no_upstream", "no"));
     assert!(got.headers.contains_key("retry-after"));
@@ -106,7 +107,7 @@
 });
 
 case!(an_unsafe_request_whose_answer_is_lost_is_not_run_again, 3, 1, site => {
-    all(&site, UpstreamMode::Close);
+    set_all(&site, UpstreamMode::Close);
     for n in 0..5 {
         let id = format!("lost-{n}");
         let got = site.send(0, &Send::new("POST", &id)).await.unwrap();
@@ -115,22 +116,22 @@
     }
 });
 
-case!(a_cut_answer_is_never_passed_off_as_whole, 2, 1, site => {
-    all(&site, UpstreamMode::Cut);
+case!(a_truncated_answer_is_never_sent_as_complete, 2, 1, site => {
+    set_all(&site, UpstreamMode::Cut);
     let got = site.send(0, &Send::new("POST", "cut")).await.unwrap();
     assert_eq!((got.kind(), got.ran()), ("outcome_unknown", "unknown"));
     let got = site.send(0, &Send::new("GET", "cut-safe")).await.unwrap();
     assert_eq!(got.ran(), "unknown");
 });
 
-case!(garbage_is_no_answer, 2, 1, site => {
-    all(&site, UpstreamMode::Garbage);
+case!(an_invalid_answer_is_refused, 2, 1, site => {
+    set_all(&site, UpstreamMode::Garbage);
     let got = site.send(0, &Send::new("POST", "garbage")).await.unwrap();
     assert!(!got.kind().is_empty(), "{got:?}");
     assert_eq!(site.runs("garbage"), 0);
 });
 
-case!(half_of_the_upstreams_dead_loses_hardly_any_safe_request, 8, 2, site => {
+case!(half_of_the_upstreams_failing_loses_hardly_any_safe_request, 8, 2, site => {
     for name in site.workers().into_iter().take(4) {
         site.order(Control::Upstream(name, UpstreamMode::Close));
     }
@@ -148,7 +149,7 @@
 });
 
 case!(retries_do_not_multiply_when_all_upstreams_fail, 4, 1, site => {
-    all(&site, UpstreamMode::Fail);
+    set_all(&site, UpstreamMode::Fail);
     let count = 300;
     for n in 0..count {
         site.send(0, &Send::new("GET", &format!("fail-{n}"))).await.unwrap();
@@ -157,7 +158,7 @@
     assert!(f64::from(attempts) <= 1.2 * f64::from(count), "{attempts} attempts");
 });
 
-case!(one_key_runs_once_at_two_gates_at_the_same_moment, 2, 3, site => {
+case!(a_key_sent_to_two_gates_at_once_runs_once, 2, 3, site => {
     for n in 0..30 {
         let id = format!("twin-{n}");
         let send = Send::new("POST", &id).key(Uuid::now_v7()).with("x-work-us", "20000");
@@ -168,7 +169,7 @@
     }
 });
 
-case!(a_repeat_of_an_ended_key_gets_the_first_answer, 2, 3, site => {
+case!(a_repeat_of_an_answered_key_gets_the_first_answer, 2, 3, site => {
     let send = Send::new("POST", "again").key(Uuid::now_v7()).body("once");
     let first = site.send(0, &send).await.unwrap();
     assert_eq!(first.status, 200);
@@ -189,10 +190,10 @@
 });
 
 case!(a_key_may_run_after_it_was_refused_as_not_run, 2, 2, site => {
-    all(&site, UpstreamMode::Refuse);
+    set_all(&site, UpstreamMode::Refuse);
     let send = Send::new("POST", "later").key(Uuid::now_v7());
     assert_eq!(site.send(0, &send).await.unwrap().ran(), "no");
-    all(&site, UpstreamMode::Ok);
+    set_all(&site, UpstreamMode::Ok);
     let mut got = site.send(1, &send).await.unwrap();
     for _ in 0..100 {
         if got.status == 200 {
@@ -205,11 +206,12 @@
     assert_eq!(site.runs("later"), 1);
 });
 
-case!(a_key_is_not_run_again_after_its_gate_and_its_keeper_died, 2, 3, site => {
+case!(a_key_is_not_run_again_after_its_gate_and_coordinator_stop, 2, 3, site => {
     let keys: Vec<Uuid> = (0..30).map(|_| Uuid::now_v7()).collect();
     let id = |n: usize| format!("orphan-{n}");
     let send = |n: usize| Send::new("POST", &id(n)).key(keys[n]).with("x-work-us", "400000");
-    // All go to the gate that dies while they run; it keeps a third of the keys as well.
+    // All requests go to the gate that stops while they run; it also coordinates a third of the
+    // keys.
     let at = site.gates[0].http;
     let http = site.http.clone();
     let sends: Vec<_> = (0..keys.len()).map(send).collect();
@@ -223,7 +225,7 @@
         let got = site.send(n % 2, &send(n)).await.unwrap();
         assert!(site.runs(&id(n)) <= 1, "{got:?}");
     }
-    // The cell gives the dead gate up; a new keeper must not run the old keys either.
+    // The cell removes the stopped gate; the new coordinator must not run the old keys either.
     site.add_gate("g3").await;
     site.until_ready().await;
     for n in 0..keys.len() {
@@ -237,7 +239,7 @@
     }
 });
 
-case!(slots_and_connections_hold_while_gates_come_and_go, 2, 3, site => {
+case!(limits_of_slots_and_connections_hold_while_gates_change, 2, 3, site => {
     let stop = std::sync::Arc::new(std::sync::atomic::AtomicBool::new(false));
     let mut loads = Vec::new();
     for gate in &site.gates {
@@ -254,13 +256,14 @@
         }
     }
     tokio::time::sleep(Duration::from_secs(1)).await;
-    // One gate dies with its shares, another stops as planned, a third one comes.
+    // One gate stops abruptly with its allocations, another stops as planned, and a third one
+    // starts.
     drop(site.gates.remove(0));
     site.add_gate("g3").await;
     tokio::time::sleep(Duration::from_secs(1)).await;
     let leaving = site.gates.remove(0);
     let finished = leaving.drain().await;
-    until("the dead gate's units have a keeper again", || site.gates.iter().all(|g| g.ready())).await;
+    until("the stopped gate's resources have a coordinator again", || site.gates.iter().all(|g| g.ready())).await;
     tokio::time::sleep(Duration::from_secs(1)).await;
     stop.store(true, std::sync::atomic::Ordering::Relaxed);
     join_all(loads).await;
@@ -272,7 +275,7 @@
     }
 });
 
-case!(a_planned_stop_cuts_nothing_off, 2, 2, site => {
+case!(a_planned_stop_finishes_requests_in_flight, 2, 2, site => {
     let gate = site.gates.remove(0);
     let (at, http) = (gate.http, site.http.clone());
     let running = tokio::spawn(async move {
@@ -286,11 +289,11 @@
     until("all run", || (0..10).all(|n| site.runs(&format!("kept-{n}")) == 1)).await;
     assert!(gate.drain().await);
     for got in running.await.unwrap() {
-        assert_eq!(got.expect("it was cut off").status, 200);
+        assert_eq!(got.expect("it was not finished").status, 200);
     }
 });
 
-case!(an_upstream_that_says_it_is_leaving_gets_nothing_new, 3, 2, site => {
+case!(an_upstream_that_announces_leaving_gets_no_new_requests, 3, 2, site => {
     let name = site.workers()[0].clone();
     site.order(Control::Upstream(name.clone(), UpstreamMode::Leaving));
     let send = |n: usize| Send::new("GET", &format!("leaving-{n}"));
@@ -299,13 +302,14 @@
     for n in 0..200 {
         site.send(n % 2, &send(n)).await.unwrap();
     }
-    // Each gate hears it with its first answer, and may have had a few more under way.
+    // Each gate learns this from its first answer, and may have sent a few more requests before.
     assert!(begun(&site) - before <= 2 * 2, "{}", begun(&site) - before);
 });
 
-case!(requests_go_on_while_the_log_is_away_for_longer_than_a_lease, 2, 2, site => {
-    // A bucket that is on its way when the log goes away has no keeper until it is back.
-    until("every key has its keeper", || site.gates.iter().all(|g| g.settled(2))).await;
+case!(requests_are_served_while_the_log_is_unavailable_longer_than_a_lease, 2, 2, site => {
+    // A bucket that is being transferred when the log becomes unavailable has no coordinator until
+    // the log is back.
+    until("every key has its coordinator", || site.gates.iter().all(|g| g.settled(2))).await;
     site.order(Control::Log(LogMode::Away));
     let end = tokio::time::Instant::now() + Duration::from_secs(12);
     let mut n = 0;
@@ -319,10 +323,10 @@
     assert!((1..=n).all(|n| site.runs(&format!("dark-{n}")) == 1));
 });
 
-case!(an_upstream_that_the_host_list_shows_as_leaving_gets_nothing_new, 3, 2, site => {
+case!(an_upstream_listed_as_leaving_gets_no_new_requests, 3, 2, site => {
     let name = site.workers()[0].clone();
     site.order(Control::Leave(name.clone()));
-    // The list lags 0.3 s in this site; it is read every second and told at once.
+    // The host list lags 0.3 s at this site and is read every second; its changes apply at once.
     tokio::time::sleep(Duration::from_secs(3)).await;
     let begun = || site.world.record.summary().upstreams.get(&name).map_or(0, |u| u.begun);
     let before = begun();
@@ -333,11 +337,11 @@
     assert_eq!(begun(), before);
 });
 
-/// Rounds of a flood.
+/// Rounds of the flood.
 const ROUNDS: u32 = 40;
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn a_partys_rate_holds_over_all_gates_and_leaves_others_alone() {
+async fn a_customers_rate_holds_over_all_gates_and_does_not_limit_others() {
     let site = Site::with(2, 3, &common::desired(100, "")).await;
     let began = tokio::time::Instant::now();
     let (mut answered, mut others) = (0, 0);
@@ -354,15 +358,17 @@
         others += u32::from(site.send(0, &kyma).await.unwrap().status == 200);
         tokio::time::sleep(Duration::from_millis(50)).await;
     }
-    // A second's rate may be saved up; what three gates would let through alone is far above.
+    // A second's rate may be saved up; three gates that don't share the limit would let far more
+    // through.
     let most = 100.0 * (began.elapsed().as_secs_f64() + 1.0);
     assert!(f64::from(answered) <= most, "{answered} of at most {most}");
     assert!(answered > 100, "{answered}");
     assert_eq!(others, ROUNDS);
 }
 
-case!(parties_pay_for_slots_and_not_for_waiting, 1, 1, site => {
-    // Six waves of eight slots: with the waits each wave would cost one more than the last.
+case!(customers_pay_for_slots_and_not_for_waiting, 1, 1, site => {
+    // Six waves of eight slots: if waiting were charged, each wave would cost more than the one
+    // before.
     let sends = (0..48).map(|n| {
         let send = Send::new("POST", &format!("paid-{n}")).with("x-work-us", "300000");
         let send = send.with("myrtle-deadline-ms", "30000");
--- a/crates/gate/tests/silence.rs
+++ b/crates/gate/tests/silence.rs
@@ -1,10 +1,9 @@
 //! Connections to upstreams that go silent without a reset while new ones work.
 //!
-//! Symptom: a gate gave an upstream ever fewer requests, and in the end none. Sequence: connections
-//! to it went silent; each request on one was late, and its attempt went on waiting. Cause: an
-//! attempt that nobody waits for holds its slot until the upstream is through, and only the wait for
-//! a body had an end. What settled it: requests by way of a relay that swallows what its open
-//! connections carry; a request was still late after a minute.
+//! An attempt that no caller waits for holds its slot until the upstream has finished. If only the
+//! wait for an answer's body had a limit, each request on a silent connection would hold its slot
+//! for good, and the gate would send the upstream ever fewer requests, in the end none. The test
+//! sends requests through a relay that stops forwarding on its open connections.
 
 mod common;
 #[path = "../../../platform/tests/common/mod.rs"]
@@ -20,14 +19,14 @@
 use common::{Send, Site};
 use relay::Relay;
 
-/// As many as an upstream has slots.
+/// The slots of an upstream.
 const SLOTS: usize = 8;
 
-/// Far above what a wait takes.
+/// Far more than a wait takes.
 const MINUTE: Duration = Duration::from_secs(60);
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn slots_of_requests_on_silent_connections_are_free_again() {
+async fn slots_used_on_silent_connections_are_freed() {
     let site = Site::start(1, 1).await;
     let mut worker = site.world.hosts.list().into_iter().find(|h| h.role == Role::Worker).unwrap();
     let relay = Relay::to(worker.peer).await;
@@ -42,7 +41,7 @@
             warm().await;
         }
     };
-    timeout(MINUTE, warmed).await.expect("the gate goes by the relay");
+    timeout(MINUTE, warmed).await.expect("all connections of the gate go through the relay");
     relay.hush();
     let late = (0..2 * SLOTS).map(|n| {
         let site = &site;
@@ -55,5 +54,5 @@
     join_all(late).await;
     let next = async || site.send(0, &Send::new("GET", "next")).await.unwrap().status == 200;
     let served = async { while !next().await {} };
-    timeout(MINUTE, served).await.expect("the slots are never free again");
+    timeout(MINUTE, served).await.expect("the slots are freed within a minute");
 }
--- a/crates/peer/src/front.rs
+++ b/crates/peer/src/front.rs
@@ -1,4 +1,4 @@
-//! What front hosts ask of each other.
+//! The calls between front hosts.
 
 use std::collections::BTreeMap;
 
@@ -6,32 +6,32 @@
 
 use myrtle_job::{JobId, Load, RunEnd, State};
 
-/// What a host says of a job in one of its cells.
+/// The state of a job in a cell, as a host reports it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Seen {
     /// The host does not own the cell.
     Elsewhere,
     /// The cell has no such job.
     Unknown,
-    /// What the log holds of it.
+    /// The job's state in the log.
     Job(State),
-    /// Another cell looks after it.
+    /// The job was transferred to this cell.
     Moved(u32),
 }
 
-/// What came of a job that was passed on.
+/// The result of forwarding a job.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Passed {
-    /// It is in the log.
+    /// The job is in the log.
     Kept,
-    /// It surely is not.
+    /// The job is certainly not in the log.
     Refused,
-    /// It may be.
+    /// The job may be in the log.
     Unknown,
 }
 
 impl Passed {
-    /// What follows from two ways of writing the same job.
+    /// Combines the results of two attempts to write the same job.
     pub fn or(self, other: Self) -> Self {
         match (self, other) {
             (Self::Kept, _) | (_, Self::Kept) => Self::Kept,
@@ -41,34 +41,37 @@
     }
 }
 
-/// What a front host does for its peers.
+/// The service of a front host for other front hosts.
 #[tarpc::service]
 pub trait FrontPeer {
-    /// What the cell's owner knows of a job.
+    /// Returns the state of a job from the cell's owner.
     async fn state(cell: u32, job: JobId) -> Seen;
 
-    /// Takes a job back; answers once that is in the log.
+    /// Cancels a job; replies once the cancellation is in the log.
     async fn cancel(cell: u32, job: JobId) -> Seen;
 
-    /// How many jobs of each queue have not begun; nothing if the host does not own the cell.
+    /// The number of jobs of each queue that have not begun; nothing if the host does not own the
+    /// cell.
     async fn pending(cell: u32) -> Option<BTreeMap<String, u64>>;
 
-    /// Writes an accepted job for a host that the store turns away.
+    /// Writes an accepted job for a host that the store refuses.
     async fn pass(cell: u32, job: JobId, record: Vec<u8>) -> Passed;
 
-    /// Asks the owner of a cell that is too large for its host to give the cell up.
+    /// Asks the owner of a cell that is too large for its host to release the cell.
     async fn relieve(cell: u32);
 
-    /// How full a cell is; nothing if the host does not own it.
+    /// The load of a cell; nothing if the host does not own it.
     async fn load(cell: u32) -> Option<Load>;
 
-    /// What the owner knows of a job, in lines for operators.
+    /// Describes a job for operators, in lines of text.
     async fn explain(cell: u32, job: JobId) -> Vec<String>;
 
-    /// Whether the host owns a cell and reaches the store, so that what it was passed is on its way.
+    /// Whether the host owns a cell and reaches the store, so that it can write the jobs that were
+    /// forwarded to it.
     async fn writes(cell: u32) -> bool;
 
-    /// Tells the owner of a cell which ends an earlier one, under this fencing token, has heard and could not log;
-    /// false if the host is no later owner, or has not read the log yet.
+    /// Reports to the owner of a cell which ends of runs an earlier owner, with this fencing token,
+    /// received and could not log; false if the host is no later owner, or has not read the log
+    /// yet.
     async fn ended(cell: u32, fence: u64, ends: Vec<RunEnd>) -> bool;
 }
--- a/crates/peer/src/gate.rs
+++ b/crates/peer/src/gate.rs
@@ -1,56 +1,62 @@
-//! What gates ask of each other.
+//! The calls between gates.
 
 use serde::{Deserialize, Serialize};
 use uuid::Uuid;
 
 use myrtle_base::{Millis, Stamp};
 use myrtle_cell::Unit;
-use myrtle_route::{Ask, Begin, Bucket, Ledger, Offer, Saved};
+use myrtle_route::{Ask, Bucket, Decision, Ledger, Offer, SavedAnswer};
 
-/// A keeper's answer to asks for loans.
+/// A coordinator's reply to requests for allocations.
 #[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize)]
-pub struct LendReply {
-    /// How long the keeper's own lease still runs; no loan outlives it.
-    pub bound: Millis,
-    /// Offers for the units that it keeps.
-    pub offers: Vec<(Unit, Offer)>,
+pub struct CoordinatorReply {
+    /// The remaining time of the coordinator's own lease; no allocation outlives it.
+    pub lease_left: Millis,
+    /// Replies for those resources that the gate coordinates.
+    pub replies: Vec<(Unit, Offer)>,
 }
 
-/// How a keyed request ended at the gate that ran it.
+/// How a request with a key ended at the gate that ran it.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Done {
     /// The upstream answered.
-    Answered(Saved),
-    /// No upstream was given it.
+    Answered(SavedAnswer),
+    /// No upstream received the request.
     NotRun,
-    /// Nobody knows.
+    /// It is unknown whether an upstream ran it.
     Unknown,
 }
 
-/// What a keeper knows of a unit, handed to the next one.
+/// The state of a resource, sent to its next coordinator.
 #[derive(Debug, Clone, Serialize, Deserialize)]
-pub enum HandOver {
-    /// The book of a limit.
+pub enum ResourceState {
+    /// The ledger of a limit.
     Ledger(Ledger),
     /// The keys of a bucket.
     Bucket(Bucket),
 }
 
-/// What a gate does for its peers.
+/// The service of a gate for other gates.
 #[tarpc::service]
 pub trait GatePeer {
-    /// Asks a keeper for loans; `seq` grows with each call of a gate's life.
-    async fn lend(gate: String, boot: u64, seq: u64, asks: Vec<(Unit, Ask)>) -> LendReply;
-
-    /// Asks the keeper of a key whether to run a request; passed on once if it is another's.
-    async fn begin(stamp: Stamp, key: Uuid, hash: u64, holder: u64, passed: bool) -> Begin;
-
-    /// Tells the keeper of a key how its request ended.
-    async fn end(stamp: Stamp, key: Uuid, done: Done, passed: bool);
-
-    /// Asks for a planned stop; an operator's order, which callers' ports do not take.
+    /// Requests allocations from a coordinator; `seq` grows with each call in a gate's incarnation.
+    async fn allocate(
+        gate: String,
+        incarnation: u64,
+        seq: u64,
+        asks: Vec<(Unit, Ask)>,
+    ) -> CoordinatorReply;
+
+    /// Asks the coordinator of a key whether to run a request; forwarded once if another gate
+    /// coordinates the key.
+    async fn begin(stamp: Stamp, key: Uuid, hash: u64, runner: u64, forwarded: bool) -> Decision;
+
+    /// Reports to the coordinator of a key how its request ended.
+    async fn end(stamp: Stamp, key: Uuid, done: Done, forwarded: bool);
+
+    /// Starts a planned stop; an operator's command, which the port for callers does not accept.
     async fn stop() -> bool;
 
-    /// Hands what is known of a unit to its next keeper; true if it is taken.
-    async fn take(unit: Unit, from: String, over: HandOver) -> bool;
+    /// Sends the state of a resource to its next coordinator; true if it was stored.
+    async fn receive(resource: Unit, from: String, state: ResourceState) -> bool;
 }
--- a/crates/peer/src/quiet.rs
+++ b/crates/peer/src/idle.rs
@@ -1,4 +1,4 @@
-//! A socket that breaks once nothing has come for a while.
+//! A socket whose reads fail after a time without data.
 
 use std::io;
 use std::pin::Pin;
@@ -9,48 +9,48 @@
 use tokio::net::TcpStream;
 use tokio::time::{Instant, Sleep, sleep};
 
-/// A socket whose reads fail once nothing has come for a while.
+/// A socket whose reads fail after a time without data.
 ///
 /// A connection that went silent is never reset, and would keep its descriptor for good.
 #[derive(Debug)]
-pub struct Quiet {
+pub struct IdleTimeout {
     stream: TcpStream,
     limit: Duration,
-    heard: Instant,
-    alarm: Pin<Box<Sleep>>,
+    last_read: Instant,
+    timer: Pin<Box<Sleep>>,
 }
 
-impl Quiet {
-    /// A socket that may be quiet for so long.
+impl IdleTimeout {
+    /// Wraps a socket that may be idle for up to `limit`.
     pub fn new(stream: TcpStream, limit: Duration) -> Self {
-        Self { stream, limit, heard: Instant::now(), alarm: Box::pin(sleep(limit)) }
+        Self { stream, limit, last_read: Instant::now(), timer: Box::pin(sleep(limit)) }
     }
 }
 
-impl AsyncRead for Quiet {
+impl AsyncRead for IdleTimeout {
     fn poll_read(
         mut self: Pin<&mut Self>,
         cx: &mut Context<'_>,
         buf: &mut ReadBuf<'_>,
     ) -> Poll<io::Result<()>> {
-        let me = &mut *self;
-        if let Poll::Ready(read) = Pin::new(&mut me.stream).poll_read(cx, buf) {
-            me.heard = Instant::now();
+        let this = &mut *self;
+        if let Poll::Ready(read) = Pin::new(&mut this.stream).poll_read(cx, buf) {
+            this.last_read = Instant::now();
             return Poll::Ready(read);
         }
-        // The alarm is set again only when it goes off: that is cheaper than at each read.
-        while me.alarm.as_mut().poll(cx).is_ready() {
-            let end = me.heard + me.limit;
+        // The timer is reset only when it fires, which is cheaper than at each read.
+        while this.timer.as_mut().poll(cx).is_ready() {
+            let end = this.last_read + this.limit;
             if Instant::now() >= end {
                 return Poll::Ready(Err(io::ErrorKind::TimedOut.into()));
             }
-            me.alarm.as_mut().reset(end);
+            this.timer.as_mut().reset(end);
         }
         Poll::Pending
     }
 }
 
-impl AsyncWrite for Quiet {
+impl AsyncWrite for IdleTimeout {
     fn poll_write(
         mut self: Pin<&mut Self>,
         cx: &mut Context<'_>,
--- a/crates/peer/src/lib.rs
+++ b/crates/peer/src/lib.rs
@@ -1,22 +1,24 @@
-//! What the project's own processes say to each other.
+//! Calls between the project's own processes: the services, their transport, and connections that
+//! are made again after a fault.
 
 mod front;
 mod gate;
+mod idle;
 mod link;
-mod quiet;
 mod sched;
-mod wire;
+mod transport;
 
 pub use front::{FrontPeer, FrontPeerClient, FrontPeerRequest, FrontPeerResponse, Passed, Seen};
 pub use gate::{
-    Done, GatePeer, GatePeerClient, GatePeerRequest, GatePeerResponse, HandOver, LendReply,
+    CoordinatorReply, Done, GatePeer, GatePeerClient, GatePeerRequest, GatePeerResponse,
+    ResourceState,
 };
 pub use link::Link;
 pub use sched::{
     GateSeen, GateView, Known, Peering, Proposal, Pulse, SchedPeer, SchedPeerClient,
     SchedPeerRequest, SchedPeerResponse, UpstreamView, Whole, WorkerLoad,
 };
-pub use wire::{Connect, Wired, listen, listen_while};
+pub use transport::{Connect, Wired, listen, listen_with_limit};
 
 /// What the macro [`run!`] needs.
 pub mod reexport {
--- a/crates/peer/src/link.rs
+++ b/crates/peer/src/link.rs
@@ -10,49 +10,50 @@
 
 use myrtle_base::Doubt;
 
-use crate::wire::Connect;
+use crate::transport::Connect;
 
-/// How long a connection may go unused before it is not trusted any more; below the time after
-/// which the other side closes it.
-const UNUSED: Duration = Duration::from_secs(20);
+/// How long a connection may be idle before it is no longer used; shorter than the time after which
+/// the server closes it.
+const MAX_IDLE: Duration = Duration::from_secs(20);
 
-/// How long a connection without any answer is kept: a peer that stands still must not find many of
-/// them when it wakes.
-const FRESH: Duration = Duration::from_secs(3);
+/// How long a new connection without any answer is kept, so that a peer that is stopped for a while
+/// doesn't find many of them when it continues.
+const NEW: Duration = Duration::from_secs(3);
 
-/// One peer's connection, shared by all who call it.
+/// One peer's connection, shared by all callers.
 ///
-/// A connection that is in doubt is not used for new calls; answers on it are still taken.
+/// A connection that may have gone silent is not used for new calls; answers on it are still
+/// accepted.
 #[derive(Debug)]
 pub struct Link<C> {
     at: SocketAddr,
-    line: Mutex<Option<Line<C>>>,
+    connection: Mutex<Option<Connection<C>>>,
     doubt: Mutex<Doubt>,
-    /// Held while a connection is made; the last one that failed did so at this moment.
+    /// Locked while a connection is made; holds the time of the last failure.
     connecting: tokio::sync::Mutex<Option<Instant>>,
 }
 
 /// A connection.
 #[derive(Debug, Clone)]
-struct Line<C> {
+struct Connection<C> {
     client: C,
-    opened: Instant,
-    heard: Option<Instant>,
+    opened_at: Instant,
+    answered_at: Option<Instant>,
 }
 
-impl<C> Line<C> {
-    fn last(&self) -> Instant {
-        self.heard.unwrap_or(self.opened)
+impl<C> Connection<C> {
+    fn last_used(&self) -> Instant {
+        self.answered_at.unwrap_or(self.opened_at)
     }
 }
 
-/// A call that waits; dropped without an answer it casts doubt on the connection.
-struct Mark<'a> {
+/// A call without an answer yet; if it is dropped, the connection is suspected to have gone silent.
+struct PendingCall<'a> {
     doubt: &'a Mutex<Doubt>,
     number: u64,
 }
 
-impl Drop for Mark<'_> {
+impl Drop for PendingCall<'_> {
     fn drop(&mut self) {
         lock(self.doubt).given_up(self.number, Instant::now());
     }
@@ -62,20 +63,20 @@
     /// A link to the peer at `at`, connected at the first call.
     pub fn new(at: SocketAddr) -> Self {
         let connecting = tokio::sync::Mutex::default();
-        Self { at, line: Mutex::new(None), doubt: Mutex::default(), connecting }
+        Self { at, connection: Mutex::new(None), doubt: Mutex::default(), connecting }
     }
 
-    /// Where the peer listens.
+    /// The peer's address.
     pub fn at(&self) -> SocketAddr {
         self.at
     }
 
     /// Whether there is a connection to the peer, or one can be made.
     pub async fn reach(&self) -> bool {
-        self.line().await.is_some()
+        self.connection().await.is_some()
     }
 
-    /// Calls the peer; after an error the next call connects again, and after a long silence too.
+    /// Calls the peer; connects again after an error of an earlier call, or after a long silence.
     ///
     /// Returns nothing if the peer could not be reached or did not answer within `limit`.
     pub async fn call<T, F, R>(&self, limit: Duration, call: F) -> Option<T>
@@ -86,77 +87,80 @@
         self.call_waiting(Duration::ZERO, limit, call).await
     }
 
-    /// Calls the peer, which is asked to wait so long with its answer.
+    /// Calls the peer, which may wait up to `wait` before it answers.
     pub async fn call_waiting<T, F, R>(&self, wait: Duration, limit: Duration, call: F) -> Option<T>
     where
         F: FnOnce(C, Context) -> R,
         R: Future<Output = Result<T, RpcError>>,
     {
-        let Line { client, opened, heard } = self.line().await?;
+        let Connection { client, opened_at, answered_at } = self.connection().await?;
         let sent = Instant::now();
-        // Without an answer on a new connection it is the peer that is slow.
-        let kept = heard.is_some() || sent > opened + FRESH;
-        let number = lock(&self.doubt).sent(wait, true, kept, sent);
-        let mark = Mark { doubt: &self.doubt, number };
+        // On a new connection, a missing answer means that the peer is slow.
+        let established = answered_at.is_some() || sent > opened_at + NEW;
+        let number = lock(&self.doubt).sent(wait, true, established, sent);
+        let pending = PendingCall { doubt: &self.doubt, number };
         let mut context = context::current();
         context.deadline = sent + limit;
-        // The deadline holds only for what is sent; a connection that takes in no more would hold
-        // the call for ever.
+        // The context's deadline applies only once the call is sent; a connection whose buffers are
+        // full would hold the call for ever.
         match timeout(limit, call(client, context)).await {
             Ok(Ok(value)) => {
                 let now = Instant::now();
-                lock(&self.doubt).answered(mark.number, opened, now);
-                self.change(opened, |line| line.heard = Some(now));
+                lock(&self.doubt).answered(pending.number, opened_at, now);
+                self.change(opened_at, |connection| connection.answered_at = Some(now));
                 Some(value)
             }
-            // A late answer says nothing against the connection.
+            // A late answer doesn't mean that the connection is broken.
             Err(_) | Ok(Err(RpcError::DeadlineExceeded)) => None,
             Ok(Err(_)) => {
-                let mut held = lock(&self.line);
-                held.take_if(|line| line.opened == opened);
+                let mut current = lock(&self.connection);
+                current.take_if(|connection| connection.opened_at == opened_at);
                 None
             }
         }
     }
 
-    /// Changes what is known of a connection, if it is still in use.
-    fn change(&self, opened: Instant, change: impl FnOnce(&mut Line<C>)) {
-        let mut held = lock(&self.line);
-        if let Some(line) = held.as_mut().filter(|line| line.opened == opened) {
-            change(line);
+    /// Changes the record of a connection, if it is still in use.
+    fn change(&self, opened_at: Instant, change: impl FnOnce(&mut Connection<C>)) {
+        let mut current = lock(&self.connection);
+        if let Some(connection) =
+            current.as_mut().filter(|connection| connection.opened_at == opened_at)
+        {
+            change(connection);
         }
     }
 
-    /// The connection, unless it is in doubt.
-    fn trusted(&self) -> Option<Line<C>> {
+    /// The connection, unless it is in doubt or idle for too long.
+    fn usable(&self) -> Option<Connection<C>> {
         let now = Instant::now();
         let before = lock(&self.doubt).before(now);
-        let line = lock(&self.line).clone()?;
-        let doubted = before.is_some_and(|before| line.last() < before);
-        (!doubted && now < line.last() + UNUSED).then_some(line)
+        let connection = lock(&self.connection).clone()?;
+        let suspect = before.is_some_and(|before| connection.last_used() < before);
+        (!suspect && now < connection.last_used() + MAX_IDLE).then_some(connection)
     }
 
-    /// The connection, made first if need be; many who wait for it make one.
-    async fn line(&self) -> Option<Line<C>> {
-        if let Some(line) = self.trusted() {
-            return Some(line);
+    /// The connection, made first if necessary; callers that wait at the same time share one
+    /// attempt.
+    async fn connection(&self) -> Option<Connection<C>> {
+        if let Some(connection) = self.usable() {
+            return Some(connection);
         }
         let asked = Instant::now();
         let mut failed = self.connecting.lock().await;
-        if let Some(line) = self.trusted() {
-            return Some(line);
+        if let Some(connection) = self.usable() {
+            return Some(connection);
         }
         if failed.is_some_and(|at| at > asked) {
             return None;
         }
-        let opened = Instant::now();
+        let opened_at = Instant::now();
         let Ok(client) = C::connect(self.at).await else {
             *failed = Some(Instant::now());
             return None;
         };
-        let line = Line { client, opened, heard: None };
-        *lock(&self.line) = Some(line.clone());
-        Some(line)
+        let connection = Connection { client, opened_at, answered_at: None };
+        *lock(&self.connection) = Some(connection.clone());
+        Some(connection)
     }
 }
 
--- a/crates/peer/src/sched.rs
+++ b/crates/peer/src/sched.rs
@@ -1,4 +1,4 @@
-//! What scheds and gates ask of a sched.
+//! The calls of scheds and gates to a sched.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -9,7 +9,7 @@
 use myrtle_cell::{Cell, Deny, Grant, Keep, Op, Subject, Unit};
 use myrtle_config::{Config, Scoped};
 
-/// How a sched is.
+/// The health of a sched.
 #[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize)]
 pub struct Pulse {
     /// Its causal clock.
@@ -20,35 +20,35 @@
     pub config: u64,
     /// The next offset of its fold.
     pub next: u64,
-    /// Gates that it heard of lately.
+    /// Gates that it received a call from recently.
     pub gates: Vec<GateSeen>,
-    /// The loads of the workers that it looks after.
+    /// The loads of the workers that it is responsible for.
     pub loads: Vec<WorkerLoad>,
 }
 
-/// When a gate was heard.
+/// The last call of a gate.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct GateSeen {
     /// Its name.
     pub name: String,
-    /// Its life.
+    /// Its incarnation.
     pub boot: u64,
-    /// How long ago it was heard.
+    /// The time since its last call.
     pub age: Millis,
 }
 
-/// How busy a worker is, measured with a lag.
+/// The load of a worker, which lags behind.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct WorkerLoad {
     /// The worker's number.
     pub worker: u32,
     /// The share of its room in use, in percent.
     pub percent: u8,
-    /// The service's latency against the usual one, in percent.
+    /// The service's latency relative to the usual one, in percent.
     pub slow: u16,
 }
 
-/// What a sched knows, for one that starts while the log is away.
+/// The state of a sched, for one that starts while the log is unavailable.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct Whole {
     /// The configuration.
@@ -57,38 +57,38 @@
     pub cell: Cell,
 }
 
-/// What a gate already has.
+/// The versions that a gate already has.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Known {
     /// The version of its platform scope.
     pub config: u64,
-    /// The mark of its last view.
+    /// The hash of its last view.
     pub mark: u64,
 }
 
-/// What a gate needs to know of its cell.
+/// The part of the cell that a gate needs.
 #[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize)]
 pub struct GateView {
     /// The sender's causal clock.
     pub stamp: Stamp,
-    /// The platform scope, if the gate's is older.
+    /// The platform scope, if the gate has an older one.
     pub platform: Option<Scoped>,
-    /// A hash over the rest.
+    /// A hash of `peering`.
     pub mark: u64,
-    /// The rest; nothing if the gate has it.
+    /// The coordinators, gates and upstreams; nothing if the gate has them.
     pub peering: Option<Peering>,
 }
 
-/// Who keeps what and who is where.
+/// The coordinators, gates and upstreams of a cell.
 #[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize)]
 pub struct Peering {
-    /// The offset of the fold that this is from; an older one is never taken in.
+    /// The offset of the fold that this is from; a gate ignores an older one.
     pub next: u64,
-    /// Keepers of units.
+    /// The coordinators of resources.
     pub units: BTreeMap<Unit, Keep>,
-    /// Gates of the data centre that are up, with their lives.
+    /// Gates of the data centre that are up, with their incarnations.
     pub gates: BTreeMap<String, u64>,
-    /// Where gates of all data centres listen for peers.
+    /// The data centres and peer addresses of the gates of all data centres.
     pub peers: BTreeMap<String, (String, SocketAddr)>,
     /// The upstreams of the data centre.
     pub upstreams: Vec<UpstreamView>,
@@ -101,25 +101,25 @@
     pub name: String,
     /// The service that it serves.
     pub service: String,
-    /// Where it serves.
+    /// Its address.
     pub at: SocketAddr,
     /// Whether it is leaving.
     pub leaving: bool,
 }
 
-/// What the fold said to proposed commands.
+/// The result of proposed commands.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Proposal {
-    /// A verdict for each command.
+    /// The commands are in the log; the result of each.
     Folded(Vec<Result<(), Deny>>),
-    /// The log is away; whether they were taken in is unknown.
+    /// The log is unavailable; whether the commands were written is unknown.
     Away,
 }
 
-/// What a sched does for its peers.
+/// The service of a sched for scheds and gates.
 #[tarpc::service]
 pub trait SchedPeer {
-    /// Says how it is.
+    /// Returns the sched's health.
     async fn pulse(stamp: Stamp) -> Pulse;
 
     /// Asks for the promise that a lease may be renewed without the log.
@@ -128,15 +128,15 @@
     /// Asks for the promise that a suspected subject's lease is not renewed.
     async fn consent(subject: Subject, suspected: u64) -> bool;
 
-    /// Gives all that it knows.
+    /// Returns the sched's whole state.
     async fn whole() -> Whole;
 
-    /// Puts commands into the log.
+    /// Writes commands to the log.
     async fn propose(stamp: Stamp, ops: Vec<Op>) -> Proposal;
 
     /// Renews a gate's lease; `clock` is the gate's.
-    async fn renew(gate: String, boot: u64, clock: Millis) -> Option<Grant>;
+    async fn renew(gate: String, incarnation: u64, clock: Millis) -> Option<Grant>;
 
-    /// Tells a gate what changed, waiting up to `wait` for a change.
+    /// Returns to a gate what changed, after waiting up to `wait` for a change.
     async fn view(known: Known, wait: Millis) -> GateView;
 }
--- a/crates/peer/src/wire.rs
+++ b/crates/peer/src/transport.rs
@@ -1,4 +1,4 @@
-//! How messages lie on a connection between hosts.
+//! The transport of calls between hosts: frames, limits and time-outs.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -14,25 +14,25 @@
 use tokio::net::{TcpListener, TcpStream};
 use tokio::time::{sleep, timeout};
 
-use crate::quiet::Quiet;
+use crate::idle::IdleTimeout;
 
-/// How long a connection may take.
-const CONNECT: Duration = Duration::from_millis(500);
+/// How long connecting may take.
+const CONNECT_TIMEOUT: Duration = Duration::from_millis(500);
 
-/// How long nothing may come on a connection before it is closed; its maker stops to use it far
-/// earlier.
-const QUIET: Duration = Duration::from_secs(60);
+/// A server closes a connection on which nothing has come for this time; the client stops using it
+/// much earlier.
+const IDLE_LIMIT: Duration = Duration::from_secs(60);
 
-/// The pause after the system could not give a connection.
-const PAUSE: Duration = Duration::from_millis(50);
+/// The pause after the system could not accept a connection.
+const ACCEPT_PAUSE: Duration = Duration::from_millis(50);
 
-/// The largest message, in bytes; a whole state fits.
+/// The largest message, in bytes; the whole state of a sched fits.
 const MAX_FRAME: usize = 32 << 20;
 
-/// The transport of a client, with its messages still to be named.
-pub type Wire<Item, Out> = Transport<Quiet, Item, Out, Bincode<Item, Out>>;
+/// The transport of a connection for two types of messages.
+pub type Framed<Item, Out> = Transport<IdleTimeout, Item, Out, Bincode<Item, Out>>;
 
-/// A generated client that can be made for an address.
+/// A generated client that can be connected to an address.
 pub trait Connect: Clone + Send + Sync + 'static {
     /// Connects to a peer.
     fn connect(at: SocketAddr) -> impl Future<Output = std::io::Result<Self>> + Send;
@@ -42,8 +42,8 @@
     ($client:ty) => {
         impl Connect for $client {
             async fn connect(at: SocketAddr) -> std::io::Result<Self> {
-                let stream = timeout(CONNECT, TcpStream::connect(at)).await??;
-                Ok(<$client>::new(Config::default(), framed(stream, QUIET)).spawn())
+                let stream = timeout(CONNECT_TIMEOUT, TcpStream::connect(at)).await??;
+                Ok(<$client>::new(Config::default(), framed(stream, IDLE_LIMIT)).spawn())
             }
         }
     };
@@ -53,24 +53,24 @@
 connect!(crate::GatePeerClient);
 connect!(crate::FrontPeerClient);
 
-/// A server's side of one connection.
-pub type Wired<Req, Resp> = BaseChannel<Req, Resp, Wire<ClientMessage<Req>, Response<Resp>>>;
+/// The server's side of one connection.
+pub type Wired<Req, Resp> = BaseChannel<Req, Resp, Framed<ClientMessage<Req>, Response<Resp>>>;
 
-/// Accepts peers on a bound port and gives each connection to `run`, until the future is dropped.
+/// Accepts peers on a bound port and passes each connection to `run`, until the future is dropped.
 ///
-/// `run` spawns the generated service, whose futures are known to be sendable only there.
+/// `run` spawns the generated service, whose futures are known to be `Send` only there.
 pub async fn listen<Req, Resp>(listener: TcpListener, run: impl Fn(Wired<Req, Resp>))
 where
     Req: DeserializeOwned + Send + 'static,
     Resp: Serialize + Send + 'static,
 {
-    listen_while(listener, QUIET, run).await;
+    listen_with_limit(listener, IDLE_LIMIT, run).await;
 }
 
-/// Accepts peers as [`listen`] does, and closes connections that are quiet for so long.
-pub async fn listen_while<Req, Resp>(
+/// Accepts peers as [`listen`] does, and closes connections that are idle for longer than `limit`.
+pub async fn listen_with_limit<Req, Resp>(
     listener: TcpListener,
-    quiet: Duration,
+    limit: Duration,
     run: impl Fn(Wired<Req, Resp>),
 ) where
     Req: DeserializeOwned + Send + 'static,
@@ -78,19 +78,19 @@
 {
     loop {
         match listener.accept().await {
-            Ok((stream, _)) => run(BaseChannel::with_defaults(framed(stream, quiet))),
-            // Without descriptors the next accept would fail at once.
-            Err(_) => sleep(PAUSE).await,
+            Ok((stream, _)) => run(BaseChannel::with_defaults(framed(stream, limit))),
+            // Without free descriptors the next accept would fail at once.
+            Err(_) => sleep(ACCEPT_PAUSE).await,
         }
     }
 }
 
-fn framed<Item, Out>(stream: TcpStream, quiet: Duration) -> Wire<Item, Out>
+fn framed<Item, Out>(stream: TcpStream, limit: Duration) -> Framed<Item, Out>
 where
     Item: DeserializeOwned,
     Out: Serialize,
 {
     let mut codec = LengthDelimitedCodec::builder();
     codec.max_frame_length(MAX_FRAME);
-    new(codec.new_framed(Quiet::new(stream, quiet)), Bincode::default())
+    new(codec.new_framed(IdleTimeout::new(stream, limit)), Bincode::default())
 }
--- a/crates/peer/tests/common/mod.rs
+++ b/crates/peer/tests/common/mod.rs
@@ -1,4 +1,4 @@
-//! A peer that can be slow, reached by way of a relay.
+//! A peer that can be slow, behind a relay.
 
 #[path = "../../../../platform/tests/common/mod.rs"]
 mod relay;
@@ -16,27 +16,27 @@
 use myrtle_job::{JobId, Load, RunEnd};
 use myrtle_peer::{
     FrontPeer, FrontPeerClient, FrontPeerRequest, FrontPeerResponse, Link, Passed, Seen, Wired,
-    listen_while,
+    listen_with_limit,
     reexport::{Channel, StreamExt},
 };
 
 pub use relay::Relay;
 
-/// Far above what a call takes.
+/// Far more than a call takes.
 pub const LONG: Duration = Duration::from_secs(20);
 
-/// How long a call may take that is to find a connection silent: above the longest patience, which
-/// slow answers on a busy machine may have taught.
+/// Limit of a call that should find its connection silent: longer than the longest wait that slow
+/// answers on a busy machine can lead to.
 pub const SHORT: Duration = Duration::from_millis(2_700);
 
-/// A peer that answers a question for a cell after as many milliseconds as the cell's number.
+/// A peer that answers a question about a cell after as many milliseconds as the cell's number.
 #[derive(Clone, Default)]
 pub struct Peer {
     open: Arc<AtomicUsize>,
 }
 
 impl Peer {
-    /// How many connections to it are open.
+    /// The number of open connections to it.
     pub fn open(&self) -> usize {
         self.open.load(Ordering::SeqCst)
     }
@@ -81,11 +81,11 @@
 
 /// A peer behind a relay, and a link to it.
 pub async fn peer() -> (Peer, Relay, Link<FrontPeerClient>) {
-    peer_that_is_quiet_for(3 * LONG).await
+    peer_with_limit(3 * LONG).await
 }
 
-/// A peer that closes connections on which nothing has come for so long.
-pub async fn peer_that_is_quiet_for(quiet: Duration) -> (Peer, Relay, Link<FrontPeerClient>) {
+/// A peer that closes connections that are idle for longer than `limit`.
+pub async fn peer_with_limit(limit: Duration) -> (Peer, Relay, Link<FrontPeerClient>) {
     let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
     let at: SocketAddr = listener.local_addr().unwrap();
     let peer = Peer::default();
@@ -100,21 +100,21 @@
                 open.fetch_sub(1, Ordering::SeqCst);
             });
         };
-        listen_while(listener, quiet, run).await
+        listen_with_limit(listener, limit, run).await
     });
     let relay = Relay::to(at).await;
     let link = Link::new(relay.at);
     (peer, relay, link)
 }
 
-/// Asks a question that is answered after as many milliseconds.
+/// Asks a question that is answered after `ms` milliseconds.
 pub async fn ask(link: &Link<FrontPeerClient>, ms: u32, limit: Duration) -> Option<Seen> {
     let job = JobId(1);
     link.call(limit, |c, context| async move { c.state(context, ms, job).await }).await
 }
 
-/// Passes a record of so many bytes on.
-pub async fn pass(link: &Link<FrontPeerClient>, size: usize, limit: Duration) -> Option<Passed> {
+/// Forwards a record of `size` bytes.
+pub async fn forward(link: &Link<FrontPeerClient>, size: usize, limit: Duration) -> Option<Passed> {
     let (job, record) = (JobId(1), vec![0; size]);
     link.call(limit, |c, context| async move { c.pass(context, 0, job, record).await }).await
 }
@@ -126,5 +126,5 @@
             sleep(Duration::from_millis(5)).await;
         }
     };
-    timeout(LONG, wait).await.expect("it never came to pass");
+    timeout(LONG, wait).await.expect("the check never held");
 }
--- a/crates/peer/tests/silence.rs
+++ b/crates/peer/tests/silence.rs
@@ -1,11 +1,10 @@
 //! Connections between hosts that go silent without a reset while new ones work.
 //!
-//! Symptom: a host had no answer from another one for the rest of its life, and some calls never
-//! came to an end. Sequence: the connection went silent; each call on it had no answer in its time
-//! and left it in place; once what was sent filled it up, the next calls were not even sent, and
-//! their time did not begin. Cause: a call without an answer says nothing by itself, since late
-//! answers are usual. What settled it: calls through a relay that swallows what its open
-//! connections carry.
+//! Without a check, each call on a silent connection gets no answer in its time and leaves the
+//! connection in use. Once the send buffers are full, calls are not even sent, and their deadlines
+//! never start, so that they never end. A single missing answer doesn't show a silent connection,
+//! since late answers are usual. The tests call through a relay that stops forwarding on its open
+//! connections.
 
 mod common;
 
@@ -14,10 +13,10 @@
 use futures::future::join_all;
 use tokio::time::{sleep, timeout};
 
-use common::{LONG, SHORT, ask, pass, peer, peer_that_is_quiet_for, until};
+use common::{LONG, SHORT, ask, forward, peer, peer_with_limit, until};
 
 #[tokio::test]
-async fn a_call_after_one_without_an_answer_gets_its_own() {
+async fn a_call_after_one_without_an_answer_is_answered() {
     let (_peer, relay, link) = peer().await;
     assert!(ask(&link, 0, LONG).await.is_some());
     relay.hush();
@@ -27,19 +26,19 @@
 }
 
 #[tokio::test]
-async fn a_call_that_cannot_be_sent_ends_in_its_time() {
+async fn a_call_that_cannot_be_sent_ends_at_its_deadline() {
     let (_peer, relay, link) = peer().await;
     assert!(ask(&link, 0, LONG).await.is_some());
     relay.jam();
-    // More than the sockets on the way take in.
-    let full = pass(&link, 24 << 20, SHORT);
+    // More than the buffers of the sockets on the way hold.
+    let full = forward(&link, 24 << 20, SHORT);
     assert!(timeout(LONG, full).await.expect("it ends").is_none());
-    let next = pass(&link, 1 << 10, SHORT);
+    let next = forward(&link, 1 << 10, SHORT);
     timeout(LONG, next).await.expect("it ends");
 }
 
 #[tokio::test]
-async fn an_answer_that_is_merely_late_is_taken_and_does_not_hold_up_others() {
+async fn a_late_answer_is_accepted_and_does_not_delay_others() {
     let (_peer, relay, link) = peer().await;
     assert!(ask(&link, 0, LONG).await.is_some());
     let quick = async {
@@ -53,7 +52,7 @@
 }
 
 #[tokio::test]
-async fn a_call_that_is_dropped_without_an_answer_counts_too() {
+async fn a_dropped_call_counts_as_unanswered() {
     let (_peer, relay, link) = peer().await;
     assert!(ask(&link, 0, LONG).await.is_some());
     relay.hush();
@@ -63,32 +62,32 @@
 }
 
 #[tokio::test]
-async fn a_peer_all_of_whose_answers_are_late_keeps_its_connection() {
+async fn a_peer_that_always_answers_late_keeps_its_connection() {
     let (_peer, relay, link) = peer().await;
     for _ in 0..12 {
         assert!(ask(&link, 300, LONG).await.is_some());
     }
     let both = (0..40).map(|_| ask(&link, 300, LONG));
     assert!(join_all(both).await.iter().all(Option::is_some));
-    // One is owed to the first late answer, the rest to a busy machine.
+    // One is due to the first late answer, the others allow for a busy machine.
     assert!(relay.opened() <= 4, "{}", relay.opened());
 }
 
 #[tokio::test]
-async fn a_peer_that_stands_still_is_not_given_a_connection_a_call() {
+async fn a_stopped_peer_does_not_get_a_connection_for_each_call() {
     let (_peer, relay, link) = peer().await;
     assert!(ask(&link, 0, LONG).await.is_some());
-    // The peer takes connections and answers nothing.
+    // The peer accepts connections and answers nothing.
     for _ in 0..20 {
         let wait = Duration::from_millis(20);
         assert!(ask(&link, 60_000, wait).await.is_none());
     }
-    // One more is owed to each three seconds, should the machine be so busy.
+    // One more may be opened every three seconds, if the machine is slow.
     assert!(relay.opened() <= 4, "{}", relay.opened());
 }
 
 #[tokio::test]
-async fn calls_at_the_same_time_make_one_connection() {
+async fn concurrent_calls_share_one_connection() {
     let (_peer, relay, link) = peer().await;
     let first = (0..20).map(|_| ask(&link, 0, LONG));
     assert!(join_all(first).await.iter().all(Option::is_some));
@@ -101,7 +100,7 @@
 }
 
 #[tokio::test]
-async fn a_silent_connection_is_closed_on_this_side() {
+async fn the_client_closes_a_silent_connection() {
     let (_peer, relay, link) = peer().await;
     assert!(ask(&link, 0, LONG).await.is_some());
     relay.hush();
@@ -111,8 +110,8 @@
 }
 
 #[tokio::test]
-async fn the_other_side_closes_connections_on_which_nothing_comes() {
-    let (peer, relay, link) = peer_that_is_quiet_for(Duration::from_millis(300)).await;
+async fn the_server_closes_idle_connections() {
+    let (peer, relay, link) = peer_with_limit(Duration::from_millis(300)).await;
     assert!(ask(&link, 0, LONG).await.is_some());
     relay.hush();
     until(|| peer.open() == 0).await;
--- a/crates/route/benches/choose.rs
+++ b/crates/route/benches/choose.rs
@@ -1,4 +1,4 @@
-//! The time of a choice with the upstreams of a large data centre.
+//! Time to choose an upstream, with as many upstreams as a large data centre has.
 
 use std::hint::black_box;
 use std::time::Duration;
@@ -23,14 +23,14 @@
         let upstream = table.add();
         table.hold(upstream, 8);
     }
-    let mut held = std::collections::VecDeque::new();
+    let mut in_use = std::collections::VecDeque::new();
     let mut now = Duration::ZERO;
     c.bench_function(name, |b| {
         b.iter(|| {
             now += Duration::from_micros(50);
-            held.push_back(black_box(table.take(now, None, 1)));
-            if held.len() > upstreams * 6
-                && let Some(Some(ticket)) = held.pop_front()
+            in_use.push_back(black_box(table.take(now, None, 1)));
+            if in_use.len() > upstreams * 6
+                && let Some(Some(ticket)) = in_use.pop_front()
             {
                 table.done(ticket, now);
             }
--- a/crates/route/src/admit.rs
+++ b/crates/route/src/admit.rs
@@ -1,8 +1,8 @@
-//! The waiting room: who gets the next slot, and who is refused at once.
+//! Admission queue of one service: which request gets the next slot, and which is refused at once.
 //!
-//! Dearer classes go first. Within a class, parties take turns by start-time fair queueing, so a
-//! flood of one party waits behind itself. A request whose expected wait is beyond its deadline is
-//! refused when that becomes clear, not when the deadline comes.
+//! Classes with a higher price go first. Within a class, customers are served by start-time fair
+//! queueing, so that a burst of one customer delays only itself. A request whose expected wait
+//! exceeds its deadline is refused as soon as that is clear, not when the deadline passes.
 
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, HashMap};
@@ -10,60 +10,61 @@
 
 use myrtle_base::Kind;
 
-/// How much one answer moves the expected time in a slot.
-const WEIGHT: f64 = 0.02;
+/// Weight of one answer in the mean time that a request holds a slot.
+const SMOOTHING: f64 = 0.02;
 
-/// The part of its time left that a request may plan to wait; the rest is for being slow.
-const MARGIN: f64 = 0.7;
+/// Share of its remaining time that a request may spend waiting; the rest allows for a slow
+/// upstream.
+const MAX_WAIT: f64 = 0.7;
 
-/// A request with less time left than this many usual times in a slot is refused.
-const LATE: f64 = 1.5;
+/// A request with less remaining time than this many mean slot times is refused.
+const MIN_TIMES: f64 = 1.5;
 
 /// Waiting requests per slot above which the cheapest are refused, whatever their deadlines.
-const DEPTH: usize = 16;
+const MAX_QUEUED: usize = 16;
 
-/// A request that wants a slot.
+/// A request for a slot.
 #[derive(Debug, Clone, Copy)]
 pub struct Arrival {
-    /// Its number, given by the caller and unique.
+    /// A unique number chosen by the caller.
     pub id: u64,
-    /// The party's number.
+    /// The customer's number.
     pub party: u32,
     /// The price of its class.
     pub price: u32,
-    /// When its answer is due.
+    /// The deadline of its answer.
     pub deadline: Duration,
 }
 
-/// A request that is refused.
+/// A request that is refused while it waits.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Dropped {
-    /// Its number.
+pub struct Rejected {
+    /// Its [`Arrival::id`].
     pub id: u64,
-    /// Why.
+    /// The reason.
     pub kind: Kind,
-    /// When to come back.
+    /// How long the caller should wait before it repeats the request.
     pub after: Duration,
 }
 
 /// A request that gets a slot.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Taken {
-    /// Its number.
+pub struct Admitted {
+    /// Its [`Arrival::id`].
     pub id: u64,
 }
 
-/// Dearest class first, then fair turns, then order of arrival.
-type Place = (Reverse<u32>, u64, u64);
+/// Order in the queue: highest price, then fair queueing turn, then order of arrival.
+type Position = (Reverse<u32>, u64, u64);
 
-/// The waiting room of one service at one gate.
+/// The requests of one service that wait for a slot at one gate.
 #[derive(Debug)]
 pub struct Admit {
-    queue: BTreeMap<Place, Arrival>,
-    places: HashMap<u64, Place>,
-    turns: HashMap<(u32, u32), u64>,
-    served: HashMap<u32, u64>,
-    service: f64,
+    queue: BTreeMap<Position, Arrival>,
+    positions: HashMap<u64, Position>,
+    last_turns: HashMap<(u32, u32), u64>,
+    virtual_time: HashMap<u32, u64>,
+    mean_secs: f64,
     arrivals: u64,
 }
 
@@ -71,101 +72,101 @@
     fn default() -> Self {
         Self {
             queue: BTreeMap::new(),
-            places: HashMap::new(),
-            turns: HashMap::new(),
-            served: HashMap::new(),
-            service: 0.02,
+            positions: HashMap::new(),
+            last_turns: HashMap::new(),
+            virtual_time: HashMap::new(),
+            mean_secs: 0.02,
             arrivals: 0,
         }
     }
 }
 
 impl Admit {
-    /// Requests that wait.
+    /// The number of waiting requests.
     pub fn len(&self) -> usize {
         self.queue.len()
     }
 
-    /// Whether nobody waits.
+    /// Whether no request waits.
     pub fn is_empty(&self) -> bool {
         self.queue.is_empty()
     }
 
-    /// Lets a request wait; returns those that must be refused now, which may be itself.
-    pub fn enter(&mut self, arrival: Arrival, slots: u32, now: Duration) -> Vec<Dropped> {
-        let place = self.place(&arrival);
-        self.queue.insert(place, arrival);
-        self.places.insert(arrival.id, place);
+    /// Queues a request; returns the requests that must be refused now, possibly including it.
+    pub fn enter(&mut self, arrival: Arrival, slots: u32, now: Duration) -> Vec<Rejected> {
+        let position = self.position(&arrival);
+        self.queue.insert(position, arrival);
+        self.positions.insert(arrival.id, position);
         self.sweep(slots, now)
     }
 
-    /// Refuses from the back whoever cannot be served in time any more.
-    pub fn sweep(&mut self, slots: u32, now: Duration) -> Vec<Dropped> {
-        let mut dropped = Vec::new();
-        while let Some((place, last)) = self.queue.last_key_value() {
-            let (place, last) = (*place, *last);
+    /// Refuses the last requests in the queue that can't be answered in time any more.
+    pub fn sweep(&mut self, slots: u32, now: Duration) -> Vec<Rejected> {
+        let mut rejected = Vec::new();
+        while let Some((position, last)) = self.queue.last_key_value() {
+            let (position, last) = (*position, *last);
             let wait = self.wait(self.queue.len() - 1, slots);
             let left = last.deadline.saturating_sub(now).as_secs_f64();
-            let full = self.queue.len() > DEPTH * slots.max(1) as usize;
-            if !full && wait + self.service <= left * MARGIN {
+            let full = self.queue.len() > MAX_QUEUED * slots.max(1) as usize;
+            if !full && wait + self.mean_secs <= left * MAX_WAIT {
                 break;
             }
-            let kind = if full || wait > self.service { Kind::Overload } else { Kind::NoTime };
-            self.remove(place);
+            let kind = if full || wait > self.mean_secs { Kind::Overload } else { Kind::NoTime };
+            self.remove(position);
             let after = Duration::from_secs_f64(wait.clamp(0.1, 5.0));
-            dropped.push(Dropped { id: last.id, kind, after });
+            rejected.push(Rejected { id: last.id, kind, after });
         }
-        dropped
+        rejected
     }
 
-    /// Whether a request has too little time to be run at all.
+    /// Whether a request has too little time left to be run at all.
     pub fn too_late(&self, arrival: &Arrival, now: Duration) -> bool {
-        arrival.deadline.saturating_sub(now).as_secs_f64() < self.service * LATE
+        arrival.deadline.saturating_sub(now).as_secs_f64() < self.mean_secs * MIN_TIMES
     }
 
-    /// The request that gets the next free slot; those that are too late are refused.
-    pub fn next(&mut self, now: Duration, dropped: &mut Vec<Dropped>) -> Option<Taken> {
-        while let Some((place, first)) = self.queue.first_key_value() {
-            let (place, first) = (*place, *first);
-            self.remove(place);
-            self.served.insert(first.price, place.1);
+    /// Removes the request that gets the next free slot; refuses those that are too late.
+    pub fn next(&mut self, now: Duration, rejected: &mut Vec<Rejected>) -> Option<Admitted> {
+        while let Some((position, first)) = self.queue.first_key_value() {
+            let (position, first) = (*position, *first);
+            self.remove(position);
+            self.virtual_time.insert(first.price, position.1);
             if !self.too_late(&first, now) {
-                return Some(Taken { id: first.id });
+                return Some(Admitted { id: first.id });
             }
             let after = Duration::from_millis(100);
-            dropped.push(Dropped { id: first.id, kind: Kind::NoTime, after });
+            rejected.push(Rejected { id: first.id, kind: Kind::NoTime, after });
         }
         None
     }
 
-    /// Takes out a request whose caller went away.
+    /// Removes a waiting request whose caller disconnected.
     pub fn cancel(&mut self, id: u64) {
-        if let Some(place) = self.places.get(&id).copied() {
-            self.remove(place);
+        if let Some(position) = self.positions.get(&id).copied() {
+            self.remove(position);
         }
     }
 
-    /// Takes in how long a request held its slot.
+    /// Records how long a request held its slot.
     pub fn served(&mut self, took: Duration) {
-        self.service += (took.as_secs_f64() - self.service) * WEIGHT;
+        self.mean_secs += (took.as_secs_f64() - self.mean_secs) * SMOOTHING;
     }
 
-    /// Seconds until `ahead` requests have left `slots` slots.
+    /// The expected seconds until `ahead` requests have left `slots` slots.
     fn wait(&self, ahead: usize, slots: u32) -> f64 {
-        ahead as f64 * self.service / f64::from(slots.max(1))
+        ahead as f64 * self.mean_secs / f64::from(slots.max(1))
     }
 
-    fn place(&mut self, arrival: &Arrival) -> Place {
-        let served = self.served.get(&arrival.price).copied().unwrap_or_default();
-        let turn = self.turns.entry((arrival.price, arrival.party)).or_default();
-        *turn = (*turn).max(served) + 1;
+    fn position(&mut self, arrival: &Arrival) -> Position {
+        let virtual_time = self.virtual_time.get(&arrival.price).copied().unwrap_or_default();
+        let turn = self.last_turns.entry((arrival.price, arrival.party)).or_default();
+        *turn = (*turn).max(virtual_time) + 1;
         self.arrivals += 1;
         (Reverse(arrival.price), *turn, self.arrivals)
     }
 
-    fn remove(&mut self, place: Place) {
-        if let Some(arrival) = self.queue.remove(&place) {
-            self.places.remove(&arrival.id);
+    fn remove(&mut self, position: Position) {
+        if let Some(arrival) = self.queue.remove(&position) {
+            self.positions.remove(&arrival.id);
         }
     }
 }
--- a/crates/route/src/budget.rs
+++ b/crates/route/src/budget.rs
@@ -1,38 +1,38 @@
-//! How many retries recent requests allow.
+//! A retry budget, so that retries can't multiply the load when many upstreams fail.
 
-/// Retries earned by each request: one in ten.
-const EARNED: f64 = 0.1;
+/// Retries that each request adds to the budget: one in ten.
+const PER_REQUEST: f64 = 0.1;
 
-/// Retries that a quiet gate may always do at once.
-const RESERVE: f64 = 20.0;
+/// The budget at the start, so that a gate with few requests can retry at once.
+const INITIAL: f64 = 20.0;
 
-/// The most retries that can be saved up.
-const MOST: f64 = 50.0;
+/// The largest budget.
+const LIMIT: f64 = 50.0;
 
-/// A balance of retries; requests earn, retries spend.
+/// A balance of retries: each request adds to it, and each retry takes one from it.
 #[derive(Debug, Clone)]
 pub struct Budget {
-    saved: f64,
+    balance: f64,
 }
 
 impl Default for Budget {
     fn default() -> Self {
-        Self { saved: RESERVE }
+        Self { balance: INITIAL }
     }
 }
 
 impl Budget {
-    /// Counts a first attempt.
+    /// Adds what one first attempt earns.
     pub fn earn(&mut self) {
-        self.saved = (self.saved + EARNED).min(MOST);
+        self.balance = (self.balance + PER_REQUEST).min(LIMIT);
     }
 
-    /// Spends one retry if there is one.
+    /// Takes one retry from the budget; returns false if there is none.
     pub fn spend(&mut self) -> bool {
-        let enough = self.saved >= 1.0;
-        if enough {
-            self.saved -= 1.0;
+        let available = self.balance >= 1.0;
+        if available {
+            self.balance -= 1.0;
         }
-        enough
+        available
     }
 }
--- a/crates/route/src/keys.rs
+++ b/crates/route/src/keys.rs
@@ -1,11 +1,11 @@
-//! Idempotency keys: a request that is unsafe to repeat runs at most once.
+//! Idempotency keys, so that a request that is unsafe to repeat runs at most once.
 //!
-//! Each bucket of keys has one keeper at a time. The keeper knows every key issued after it took
-//! over. A key issued before that, which it does not know, may have run under an earlier keeper:
-//! its outcome is unknown and it is not run again. The time of issue is part of the key (UUID
-//! version 7). A keeper accepts a key only if its time is at most [`MAX_SKEW`] ahead of the
-//! keeper's own clock, so a key that an earlier keeper accepted is never newer than that keeper's
-//! end and a margin.
+//! Each bucket of keys has one coordinator at a time, which has every key that it accepted since it
+//! took over. An older key that it doesn't have may have run under an earlier coordinator: its
+//! outcome is unknown and it is not run again. The time of issue is part of the key (UUID version
+//! 7). A coordinator accepts a key only if its time is at most [`MAX_SKEW`] ahead of the
+//! coordinator's own clock, so a key that an earlier coordinator accepted is never newer than the
+//! end of that coordinator's term plus a margin.
 
 use std::collections::{BTreeMap, VecDeque};
 
@@ -14,23 +14,23 @@
 
 use myrtle_base::{Kind, Millis};
 
-/// Buckets that the keys are spread over.
+/// Number of buckets over which the keys are spread.
 const BUCKETS: u16 = 32;
 
-/// How far a key's time may be ahead of the keeper's clock.
+/// How far a key's time may be ahead of the coordinator's clock.
 pub const MAX_SKEW: Millis = Millis(1_000);
 
-/// How far keys of an earlier keeper may be ahead of the log's clock: the skew, and what the
-/// clocks of hosts and log may differ by.
-const MARGIN: Millis = Millis(2_000);
+/// How far keys of an earlier coordinator may be ahead of the log's clock: the skew, and the
+/// difference between the clocks of hosts and log.
+const CLOCK_MARGIN: Millis = Millis(2_000);
 
-/// How long a key is known; an older one is answered as unknown.
-const KEPT: Millis = Millis(10 * 60 * 1000);
+/// How long a key is kept; the outcome of an older one is unknown.
+const RETENTION: Millis = Millis(10 * 60 * 1000);
 
 /// The largest answer that is kept for repeats, in bytes.
-const MAX_SAVED: usize = 16 << 10;
+const MAX_BODY: usize = 16 << 10;
 
-/// Keys that one bucket knows at most.
+/// The most keys in one bucket.
 const MAX_KEYS: usize = 50_000;
 
 /// The bucket of a key.
@@ -39,147 +39,148 @@
 }
 
 /// When a version 7 key was issued, by the caller's clock; nothing for other versions.
-pub fn issued(key: &Uuid) -> Option<Millis> {
+pub fn issued_at(key: &Uuid) -> Option<Millis> {
     let time = key.get_timestamp().filter(|_| key.get_version_num() == 7)?;
     let (seconds, nanos) = time.to_unix();
     Some(Millis(seconds * 1000 + u64::from(nanos) / 1_000_000))
 }
 
-/// An answer kept for repeats of its key.
+/// An answer that is kept for repeats of its key.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Saved {
+pub struct SavedAnswer {
     /// The HTTP status.
     pub status: u16,
     /// The content type.
-    pub content: String,
+    pub content_type: String,
     /// The body.
     pub body: Vec<u8>,
 }
 
-/// What is known of a key.
+/// The state of a key.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub enum Entry {
-    /// A gate was told to run it and has not reported.
+pub enum KeyState {
+    /// A gate runs the request and has not reported its end.
     Running {
         /// The hash of the request.
         hash: u64,
-        /// The number by which the gate that runs it names itself.
-        holder: u64,
+        /// The number that the gate that runs it uses for this request.
+        runner: u64,
     },
-    /// It ended with an answer that is kept.
+    /// The upstream answered, and the answer is kept.
     Ended {
         /// The hash of the request.
         hash: u64,
         /// The answer.
-        saved: Saved,
+        saved: SavedAnswer,
     },
-    /// It ended; the answer is too large to keep.
+    /// The upstream answered; the answer is too large to keep.
     NotKept {
         /// The hash of the request.
         hash: u64,
     },
-    /// Its outcome is unknown.
+    /// The outcome is unknown.
     Unknown {
         /// The hash of the request.
         hash: u64,
     },
 }
 
-/// What the gate that holds a request is told.
+/// What the gate that received a request must do with it.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub enum Begin {
-    /// Run it, once; report its end.
+pub enum Decision {
+    /// Run it once and report its end.
     Run,
-    /// It has run: give this answer.
-    Replay(Saved),
-    /// Do not run it: give this answer.
+    /// Don't run it again; send this answer.
+    Replay(SavedAnswer),
+    /// Don't run it; refuse it as this kind.
     Refuse(Kind),
 }
 
 /// The keys of one bucket.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Bucket {
-    keys: BTreeMap<Uuid, Entry>,
+    keys: BTreeMap<Uuid, KeyState>,
     order: VecDeque<Uuid>,
-    /// Keys issued up to this time may have been dropped.
-    floor: Millis,
+    /// Keys issued up to this time may have been removed.
+    removed_until: Millis,
 }
 
-/// The buckets that one gate keeps.
+/// The buckets that one gate coordinates.
 #[derive(Debug, Default)]
 pub struct KeyTable {
     buckets: BTreeMap<u16, Bucket>,
 }
 
-impl Entry {
+impl KeyState {
     fn hash(&self) -> u64 {
         match self {
-            Entry::Running { hash, .. }
-            | Entry::Ended { hash, .. }
-            | Entry::NotKept { hash }
-            | Entry::Unknown { hash } => *hash,
+            KeyState::Running { hash, .. }
+            | KeyState::Ended { hash, .. }
+            | KeyState::NotKept { hash }
+            | KeyState::Unknown { hash } => *hash,
         }
     }
 }
 
 impl Bucket {
-    /// An empty bucket; keys issued up to a margin after `since` may have run elsewhere.
+    /// An empty bucket; keys issued up to a margin after `since` may have run under an earlier
+    /// coordinator.
     pub fn since(since: Millis) -> Self {
-        Self { floor: since + MARGIN, ..Self::default() }
+        Self { removed_until: since + CLOCK_MARGIN, ..Self::default() }
     }
 
-    /// Decides on a request with a key; `now` is wall time.
+    /// Decides whether a request with a key runs; `now` is wall time.
     ///
-    /// `holder` is a number that the asking gate uses for this request only: when an answer was
-    /// lost and the gate asks again, it has not run the request and still may.
-    pub fn begin(&mut self, key: Uuid, hash: u64, holder: u64, now: Millis) -> Begin {
-        let Some(at) = issued(&key) else { return Begin::Refuse(Kind::BadKey) };
-        if at > now + MAX_SKEW {
-            return Begin::Refuse(Kind::BadKey);
+    /// `runner` is a number that the asking gate uses for this request only: a gate that asks again
+    /// since the reply was lost has not run the request, and still may.
+    pub fn begin(&mut self, key: Uuid, hash: u64, runner: u64, now: Millis) -> Decision {
+        let Some(issued) = issued_at(&key) else { return Decision::Refuse(Kind::BadKey) };
+        if issued > now + MAX_SKEW {
+            return Decision::Refuse(Kind::BadKey);
         }
-        if let Some(entry) = self.keys.get(&key) {
-            return repeat(entry, hash, holder);
+        if let Some(state) = self.keys.get(&key) {
+            return decide_repeat(state, hash, runner);
         }
-        self.forget(now);
-        if at <= self.floor {
-            return Begin::Refuse(Kind::Unknown);
+        self.evict(now);
+        if issued <= self.removed_until {
+            return Decision::Refuse(Kind::Unknown);
         }
-        self.keys.insert(key, Entry::Running { hash, holder });
+        self.keys.insert(key, KeyState::Running { hash, runner });
         self.order.push_back(key);
-        Begin::Run
+        Decision::Run
     }
 
-    /// Notes that the upstream answered.
-    pub fn ended(&mut self, key: &Uuid, saved: Saved) {
-        let Some(entry) = self.keys.get_mut(key) else { return };
-        let hash = entry.hash();
-        let small = saved.body.len() <= MAX_SAVED;
-        *entry = if small { Entry::Ended { hash, saved } } else { Entry::NotKept { hash } };
+    /// Records that the upstream answered.
+    pub fn ended(&mut self, key: &Uuid, saved: SavedAnswer) {
+        let Some(state) = self.keys.get_mut(key) else { return };
+        let hash = state.hash();
+        let small = saved.body.len() <= MAX_BODY;
+        *state = if small { KeyState::Ended { hash, saved } } else { KeyState::NotKept { hash } };
     }
 
-    /// Notes that nobody knows whether the upstream ran it.
+    /// Records that it is unknown whether an upstream ran the request.
     pub fn unknown(&mut self, key: &Uuid) {
-        if let Some(entry) = self.keys.get_mut(key) {
-            *entry = Entry::Unknown { hash: entry.hash() };
+        if let Some(state) = self.keys.get_mut(key) {
+            *state = KeyState::Unknown { hash: state.hash() };
         }
     }
 
-    /// Notes that no upstream was given it, so that a repeat may run.
+    /// Records that no upstream received the request, so that a repeat may run.
     pub fn not_run(&mut self, key: &Uuid) {
-        if let Some(Entry::Running { .. }) = self.keys.get(key) {
+        if let Some(KeyState::Running { .. }) = self.keys.get(key) {
             self.keys.remove(key);
             self.order.retain(|k| k != key);
         }
     }
 
-    /// Drops the oldest keys; from then on all keys of their age count as unknown.
-    fn forget(&mut self, now: Millis) {
+    /// Removes old keys, and the oldest of too many; keys of their age then count as unknown.
+    fn evict(&mut self, now: Millis) {
         while let Some(oldest) = self.order.front() {
-            let at = issued(oldest).unwrap_or_default();
-            if now.since(at) < KEPT && self.order.len() < MAX_KEYS {
+            let issued = issued_at(oldest).unwrap_or_default();
+            if now.since(issued) < RETENTION && self.order.len() < MAX_KEYS {
                 return;
             }
-            self.floor = self.floor.max(at);
+            self.removed_until = self.removed_until.max(issued);
             self.keys.remove(oldest);
             self.order.pop_front();
         }
@@ -187,41 +188,41 @@
 }
 
 impl KeyTable {
-    /// The number of every bucket.
+    /// The numbers of all buckets.
     pub fn buckets() -> impl Iterator<Item = u16> {
         0..BUCKETS
     }
 
-    /// Starts to keep a bucket with what is known of it.
+    /// Adds a bucket that this gate coordinates from now on.
     pub fn open(&mut self, no: u16, bucket: Bucket) {
         self.buckets.entry(no).or_insert(bucket);
     }
 
-    /// The bucket of a key, if this gate keeps it.
+    /// The bucket of that number, if this gate coordinates it.
     pub fn bucket(&mut self, no: u16) -> Option<&mut Bucket> {
         self.buckets.get_mut(&no)
     }
 
-    /// Stops keeping a bucket and returns what is known of it.
+    /// Removes a bucket and returns it.
     pub fn close(&mut self, no: u16) -> Option<Bucket> {
         self.buckets.remove(&no)
     }
 
-    /// Stops keeping all buckets.
+    /// Removes all buckets.
     pub fn clear(&mut self) {
         self.buckets.clear();
     }
 }
 
-fn repeat(entry: &Entry, hash: u64, holder: u64) -> Begin {
-    if entry.hash() != hash {
-        return Begin::Refuse(Kind::KeyReused);
+fn decide_repeat(state: &KeyState, hash: u64, runner: u64) -> Decision {
+    if state.hash() != hash {
+        return Decision::Refuse(Kind::KeyReused);
     }
-    match entry {
-        Entry::Running { holder: h, .. } if *h == holder => Begin::Run,
-        Entry::Running { .. } => Begin::Refuse(Kind::Running),
-        Entry::Ended { saved, .. } => Begin::Replay(saved.clone()),
-        Entry::NotKept { .. } => Begin::Refuse(Kind::NotKept),
-        Entry::Unknown { .. } => Begin::Refuse(Kind::Unknown),
+    match state {
+        KeyState::Running { runner: h, .. } if *h == runner => Decision::Run,
+        KeyState::Running { .. } => Decision::Refuse(Kind::Running),
+        KeyState::Ended { saved, .. } => Decision::Replay(saved.clone()),
+        KeyState::NotKept { .. } => Decision::Refuse(Kind::NotKept),
+        KeyState::Unknown { .. } => Decision::Refuse(Kind::Unknown),
     }
 }
--- a/crates/route/src/lib.rs
+++ b/crates/route/src/lib.rs
@@ -1,23 +1,24 @@
-//! The decisions of a gate: no sockets, no clock of its own, seeded randomness.
+//! Decides for a gate which request runs where, without sockets or a clock, and with seeded
+//! randomness.
 //!
-//! Times are durations since the start of the process, handed in by the caller.
+//! Times are durations since the start of the process and come from the caller.
 
 mod admit;
+mod allocations;
 mod budget;
 mod choose;
 mod keys;
-mod lend;
+mod ledger;
 mod rate;
 mod score;
-mod shares;
 mod table;
 
-pub use admit::{Admit, Arrival, Dropped, Taken};
+pub use admit::{Admit, Admitted, Arrival, Rejected};
+pub use allocations::{Allocations, Held};
 pub use budget::Budget;
 pub use choose::{Choice, LeastBusy, Random, RoundRobin, Scored, TwoChoices};
-pub use keys::{Begin, Bucket, Entry, KeyTable, MAX_SKEW, Saved, bucket_of, issued};
-pub use lend::{Ask, LOAN, Ledger, Loan, Offer};
+pub use keys::{Bucket, Decision, KeyState, KeyTable, MAX_SKEW, SavedAnswer, bucket_of, issued_at};
+pub use ledger::{ALLOCATION_TTL, Allocation, Ask, Ledger, Offer};
 pub use rate::Rate;
 pub use score::{Fault, Score};
-pub use shares::{Share, Shares};
-pub use table::{Free, Ticket, Upstreams};
+pub use table::{Ticket, UpstreamState, Upstreams};
