--- a/crates/route/src/score.rs
+++ b/crates/route/src/score.rs
@@ -1,42 +1,44 @@
-//! What a gate knows of an upstream from its own requests: latency and failures, with decay.
+//! Scores an upstream by the latency and failures of this gate's own requests, with decay.
 
 use std::time::Duration;
 
 /// The least weight of a new sample.
-const WEIGHT: f64 = 0.1;
+const MIN_WEIGHT: f64 = 0.1;
 
-/// A sample after a gap weighs more: what was known is this many seconds old, or older.
-const MEMORY: f64 = 0.3;
+/// A sample after a gap weighs more: after this many seconds, as much as all earlier samples.
+const GAP_SECS: f64 = 0.3;
 
-/// How fast a score that gets no samples returns to the common one, in seconds.
+/// A score without new samples moves towards the mean, half of the way in this many seconds.
 ///
-/// Neighbours move every ten seconds or so; an upstream that is shunned is tried again sooner.
-const FORGET: f64 = 4.0;
+/// Load on the machines of upstreams shifts about every ten seconds; an avoided upstream has to be
+/// tried again sooner.
+const DECAY_SECS: f64 = 4.0;
 
-/// An upstream that never answered is thought a little better than usual, so that it is tried.
-const UNSEEN: f64 = 0.5;
+/// Factor on the mean latency for an upstream without answers: below 1, so that it is tried.
+const UNTRIED: f64 = 0.5;
 
-/// One sample moves a score by at most this factor, so that one late answer does not condemn.
-const STEP: f64 = 4.0;
+/// One sample changes a score by at most this factor, so that a single late answer doesn't exclude
+/// an upstream.
+const MAX_STEP: f64 = 4.0;
 
-/// A slow upstream gets one request after this time, to find out whether it still is.
-const STALE: Duration = Duration::from_millis(150);
+/// A slow upstream without samples for this time gets one request as a probe.
+const PROBE_AFTER: Duration = Duration::from_millis(150);
 
-/// Failures above this share put an upstream out of the choice for a while.
-const BAD: f64 = 0.5;
+/// An upstream whose share of failures exceeds this is ejected for a while.
+const MAX_FAILING: f64 = 0.5;
 
-/// The first time out; it doubles up to [`MAX_OUT`] while probes fail.
-const OUT: Duration = Duration::from_millis(500);
+/// The first ejection; the time doubles up to [`MAX_EJECTION`] while probes fail.
+const MIN_EJECTION: Duration = Duration::from_millis(500);
 
-/// The longest time out.
-const MAX_OUT: Duration = Duration::from_secs(10);
+/// The longest ejection.
+const MAX_EJECTION: Duration = Duration::from_secs(10);
 
-/// How an upstream failed.
+/// How a request to an upstream failed.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Fault {
     /// The connection broke or could not be made.
     Broken,
-    /// It answered with an error, or takes too long.
+    /// The upstream answered with an error, or takes too long.
     Bad,
 }
 
@@ -45,78 +47,86 @@
 pub struct Score {
     latency: f64,
     failing: f64,
-    seen: Duration,
-    out: Duration,
-    until: Duration,
-    probed: Duration,
+    updated_at: Duration,
+    ejection: Duration,
+    ejected_until: Duration,
+    sent_at: Duration,
 }
 
 impl Default for Score {
     fn default() -> Self {
         let zero = Duration::ZERO;
-        Self { latency: 0.0, failing: 0.0, seen: zero, out: OUT, until: zero, probed: zero }
+        Self {
+            latency: 0.0,
+            failing: 0.0,
+            updated_at: zero,
+            ejection: MIN_EJECTION,
+            ejected_until: zero,
+            sent_at: zero,
+        }
     }
 }
 
 impl Score {
-    /// Seconds that a request is expected to take; `common` is the mean over all upstreams.
-    pub fn expect(&self, now: Duration, common: f64) -> f64 {
+    /// The expected seconds for a request; `mean` is the mean latency over all upstreams.
+    pub fn expect(&self, now: Duration, mean: f64) -> f64 {
         if self.latency == 0.0 {
-            return common * UNSEEN;
+            return mean * UNTRIED;
         }
-        let idle = now.saturating_sub(self.seen).as_secs_f64();
-        let keep = FORGET / (FORGET + idle);
-        let latency = common + (self.latency - common) * keep;
-        // A failure costs a repeat: count it as the time of the repeat.
-        latency * (1.0 + 4.0 * self.failing * keep)
+        let idle = now.saturating_sub(self.updated_at).as_secs_f64();
+        let decay = DECAY_SECS / (DECAY_SECS + idle);
+        let latency = mean + (self.latency - mean) * decay;
+        // A failed request is repeated: count the failures as the time of the repeats.
+        latency * (1.0 + 4.0 * self.failing * decay)
     }
 
-    /// Whether it was not heard of for so long that one request may find out how it is now.
-    pub fn is_stale(&self, now: Duration) -> bool {
-        now.saturating_sub(self.seen.max(self.probed)) > STALE
+    /// Whether there was no request or answer for so long that one request may probe the upstream.
+    pub fn needs_probe(&self, now: Duration) -> bool {
+        now.saturating_sub(self.updated_at.max(self.sent_at)) > PROBE_AFTER
     }
 
-    /// Whether it is out of the choice until a probe is due.
-    pub fn is_out(&self, now: Duration) -> bool {
-        now < self.until
+    /// Whether the upstream is ejected and no probe is due.
+    pub fn is_ejected(&self, now: Duration) -> bool {
+        now < self.ejected_until
     }
 
-    /// Takes in an answer.
+    /// Records an answer.
     pub fn answered(&mut self, now: Duration, took: Duration) {
         let took = took.as_secs_f64();
         let bounded = match self.latency {
             0.0 => took,
-            known => took.clamp(known / STEP, known * STEP),
+            known => took.clamp(known / MAX_STEP, known * MAX_STEP),
         };
         let old = if self.latency == 0.0 { bounded } else { self.latency };
-        let gap = now.saturating_sub(self.seen).as_secs_f64();
-        let weight = WEIGHT.max(gap / (gap + MEMORY));
+        let gap = now.saturating_sub(self.updated_at).as_secs_f64();
+        let weight = MIN_WEIGHT.max(gap / (gap + GAP_SECS));
         self.latency = old + (bounded - old) * weight;
-        self.failing *= 1.0 - WEIGHT;
-        self.seen = now;
-        self.out = OUT;
-        self.until = Duration::ZERO;
+        self.failing *= 1.0 - MIN_WEIGHT;
+        self.updated_at = now;
+        self.ejection = MIN_EJECTION;
+        self.ejected_until = Duration::ZERO;
     }
 
-    /// Takes in a failure; its speed is no merit.
+    /// Records a failure; its latency does not count, since fast errors would look like good
+    /// answers.
     pub fn failed(&mut self, now: Duration, fault: Fault) {
         let weight = match fault {
             Fault::Broken => 0.6,
             Fault::Bad => 0.34,
         };
         self.failing += (1.0 - self.failing) * weight;
-        self.seen = now;
-        if self.failing > BAD {
-            self.until = now + self.out;
-            self.out = (self.out * 2).min(MAX_OUT);
+        self.updated_at = now;
+        if self.failing > MAX_FAILING {
+            self.ejected_until = now + self.ejection;
+            self.ejection = (self.ejection * 2).min(MAX_EJECTION);
         }
     }
 
-    /// Notes that a request is sent; to an upstream that failed only one at a time goes.
-    pub fn tried(&mut self, now: Duration) {
-        self.probed = now;
-        if self.failing > BAD {
-            self.until = now + self.out;
+    /// Records that a request is sent; an upstream that fails gets only one at a time.
+    pub fn sent(&mut self, now: Duration) {
+        self.sent_at = now;
+        if self.failing > MAX_FAILING {
+            self.ejected_until = now + self.ejection;
         }
     }
 }
--- a/crates/route/tests/cost.rs
+++ b/crates/route/tests/cost.rs
@@ -1,4 +1,4 @@
-//! What a choice costs: no allocation, and a bounded number of looks.
+//! Choosing an upstream allocates no memory, whatever the number of upstreams.
 
 use std::alloc::{GlobalAlloc, Layout, System};
 use std::cell::Cell;
@@ -10,15 +10,15 @@
 use myrtle_route::{Scored, Upstreams};
 
 thread_local! {
-    static COUNT: Cell<u64> = const { Cell::new(0) };
+    static ALLOCATIONS: Cell<u64> = const { Cell::new(0) };
 }
 
-struct Counting;
+struct CountingAllocator;
 
 // SAFETY: every call goes to the system's allocator unchanged.
-unsafe impl GlobalAlloc for Counting {
+unsafe impl GlobalAlloc for CountingAllocator {
     unsafe fn alloc(&self, layout: Layout) -> *mut u8 {
-        COUNT.with(|c| c.set(c.get() + 1));
+        ALLOCATIONS.with(|c| c.set(c.get() + 1));
         unsafe { System.alloc(layout) }
     }
 
@@ -28,20 +28,20 @@
 }
 
 #[global_allocator]
-static ALLOCATOR: Counting = Counting;
+static ALLOCATOR: CountingAllocator = CountingAllocator;
 
 #[test]
-fn a_choice_allocates_nothing() {
+fn choosing_allocates_no_memory() {
     let mut table = Upstreams::new(Scored, ChaCha8Rng::seed_from_u64(1));
     for _ in 0..1_400 {
         let upstream = table.add();
         table.hold(upstream, 8);
     }
-    let before = COUNT.with(Cell::get);
+    let before = ALLOCATIONS.with(Cell::get);
     for n in 0..50_000_u64 {
         let now = Duration::from_micros(n * 10);
         let ticket = table.take(now, None, 1).unwrap();
         table.done(ticket, now + Duration::from_micros(20_000 + n % 7_000));
     }
-    assert_eq!(COUNT.with(Cell::get) - before, 0);
+    assert_eq!(ALLOCATIONS.with(Cell::get) - before, 0);
 }
