--- a/crates/gate/src/acquire.rs
+++ b/crates/gate/src/acquire.rs
@@ -28,7 +28,7 @@
 /// Factor on the recent demand that is requested, as headroom.
 const HEADROOM: f64 = 1.3;
 
-/// The least part of a customer's rate that a gate requests is one divided by this.
+/// A gate requests at least a customer's rate divided by this.
 const MIN_PART: u32 = 16;
 
 /// Requests that have not been answered yet.
@@ -128,14 +128,14 @@
     let count = queue.endpoints.len().max(1);
     let need = f64::from(queue.need(now)) * HEADROOM;
     let each = (need / count as f64).ceil() as u32;
-    for (no, endpoint) in queue.endpoints.iter().enumerate() {
+    for (number, endpoint) in queue.endpoints.iter().enumerate() {
         let resource = Unit::Upstream(endpoint.name.clone());
-        let free = queue.upstreams.get(no as u32);
+        let upstream = queue.upstreams.get(number as u32);
         if !coordinated(&resource) {
             continue;
         }
-        let want = if free.leaving { 0 } else { each.max(free.busy + 1) };
-        wants.insert(resource, (free.busy, want));
+        let want = if upstream.leaving { 0 } else { each.max(upstream.busy + 1) };
+        wants.insert(resource, (upstream.busy, want));
     }
     for customer in view.customers.values() {
         let resource = Unit::Party(customer.name.clone());
@@ -158,11 +158,11 @@
 
 fn apply_reply(tables: &Tables, sent: Duration, reply: CoordinatorReply) {
     let now = tables.now();
-    let bound = sent + reply.lease_left.std();
+    let lease_end = sent + reply.lease_left.std();
     tables.queues(|queues| {
         for queue in queues.values_mut() {
             for (resource, offer) in &reply.replies {
-                queue.allocations.offer(&resource.to_string(), *offer, sent, bound);
+                queue.allocations.apply(&resource.to_string(), *offer, sent, lease_end);
             }
             queue.set_slots(now);
             queue.dispatch(now);
@@ -177,8 +177,8 @@
     tables.queues(|queues| {
         tables.pool(|pool| {
             for queue in queues.values() {
-                for (no, endpoint) in queue.endpoints.iter().enumerate() {
-                    pool.shrink(endpoint.at, queue.upstreams.get(no as u32).held as usize);
+                for (number, endpoint) in queue.endpoints.iter().enumerate() {
+                    pool.shrink(endpoint.at, queue.upstreams.get(number as u32).held as usize);
                 }
             }
         });
--- a/crates/gate/src/admin.rs
+++ b/crates/gate/src/admin.rs
@@ -29,7 +29,7 @@
 fn metrics(tables: &Tables) -> Answer {
     let (held, busy, waiting) = tables.queues(|queues| {
         let sum = |f: fn(&crate::queue::ServiceQueue) -> u32| queues.values().map(f).sum::<u32>();
-        (sum(|c| c.upstreams.held()), sum(|c| c.upstreams.busy()), sum(|c| c.waiting() as u32))
+        (sum(|q| q.upstreams.held()), sum(|q| q.upstreams.busy()), sum(|q| q.waiting() as u32))
     });
     tables.meter.level("myrtle_slots", "held", i64::from(held));
     tables.meter.level("myrtle_slots", "busy", i64::from(busy));
@@ -52,7 +52,7 @@
         "state": format!("{:?}", tables.state()),
         "ready": tables.ready(),
         "lease_left_ms": tables.lease_left().as_millis() as u64,
-        "keeps": tables.resources(|b| b.resources().len()),
+        "keeps": tables.resources(|r| r.resources().len()),
         "upstreams": view.peering.upstreams.len(),
     })
 }
--- a/crates/gate/src/attempt.rs
+++ b/crates/gate/src/attempt.rs
@@ -32,7 +32,7 @@
 /// Header by which an upstream says that it did not run a request.
 const NOT_RUN: &str = "myrtle-not-run";
 
-/// Header by which an upstream announced that it is leaving.
+/// Header by which an upstream announces that it is leaving.
 const LEAVING: &str = "myrtle-leaving";
 
 /// Headers that are not forwarded: they concern one connection only, or hold the caller's token.
--- a/crates/gate/src/call.rs
+++ b/crates/gate/src/call.rs
@@ -10,7 +10,7 @@
 
 use crate::view::{Customer, View};
 
-/// Names the class, as do the headers below; see docs/OPERATING.md.
+/// Names the class; docs/OPERATING.md describes this header and those below.
 pub const CLASS: &str = "myrtle-class";
 /// The time that the caller allows, in milliseconds.
 pub const DEADLINE: &str = "myrtle-deadline-ms";
--- a/crates/gate/src/coordinator.rs
+++ b/crates/gate/src/coordinator.rs
@@ -145,9 +145,9 @@
         let view = self.view.load_full();
         let now = self.now();
         if !self.is_listed() {
-            return self.resources(|b| b.clear());
+            return self.resources(|r| r.clear());
         }
-        self.resources(|b| b.reconcile(&view, self.name(), now));
+        self.resources(|r| r.reconcile(&view, self.name(), now));
     }
 
     /// Answers a gate's requests for allocations, unless this gate's lease has expired.
@@ -163,7 +163,7 @@
             return CoordinatorReply::default();
         }
         let now = self.now();
-        self.resources(|b| b.allocate(gate, incarnation, seq, asks, now, lease_left))
+        self.resources(|r| r.allocate(gate, incarnation, seq, asks, now, lease_left))
     }
 }
 
@@ -176,8 +176,8 @@
             service.map_or(NO_SLOTS, |s| s.slots)
         }
         Unit::Party(name) => {
-            let customer = view.customers.values().find(|p| p.name == *name);
-            customer.map_or(0, |p| p.rate)
+            let customer = view.customers.values().find(|c| c.name == *name);
+            customer.map_or(0, |c| c.rate)
         }
         Unit::Keys(_) => 0,
     }
--- a/crates/gate/src/drain.rs
+++ b/crates/gate/src/drain.rs
@@ -36,7 +36,7 @@
     let end = Instant::now() + tables.settings.drain.0.std();
     let in_flight = || {
         tables
-            .queues(|queues| queues.values().map(|c| c.upstreams.busy() + c.waiting() as u32).sum())
+            .queues(|queues| queues.values().map(|q| q.upstreams.busy() + q.waiting() as u32).sum())
     };
     while Instant::now() < end {
         let left: u32 = in_flight();
@@ -55,7 +55,7 @@
     tables.report_usage().await;
     let (gate, incarnation) = (tables.name().to_string(), tables.incarnation());
     // A resource that no gate received must not be free before the allocations of it have expired.
-    if tables.resources(|b| b.resources().is_empty()) {
+    if tables.resources(|r| r.resources().is_empty()) {
         tables.propose(vec![Op::Leave { gate, boot: incarnation }]).await;
     }
     tables.handle_event(Event::Drained);
@@ -90,7 +90,7 @@
         let next = winner(others(), &resource.to_string())?.to_string();
         Some((resource, next))
     };
-    tables.resources(|b| b.resources()).into_iter().filter_map(next).collect()
+    tables.resources(|r| r.resources()).into_iter().filter_map(next).collect()
 }
 
 /// Sends the state of a resource to another gate.
@@ -100,12 +100,12 @@
 async fn send_state(tables: &Tables, resource: &Unit, to: &str) -> bool {
     let Some(at) = tables.view.load().peer(to) else { return false };
     let now = tables.now();
-    let Some(state) = tables.resources(|b| b.close(resource, now)) else { return false };
+    let Some(state) = tables.resources(|r| r.close(resource, now)) else { return false };
     let (resource, from) = (resource.clone(), tables.name().to_string());
     let link = tables.gate_link(at);
     let call = |c: GatePeerClient, x| async move { c.receive(x, resource, from, state).await };
-    // Without a reply the new coordinator may have no state; it then waits until earlier
-    // allocations have expired.
+    // Without a reply the new coordinator may have no state; it then waits until earlier allocations
+    // have expired, and treats earlier keys as unknown.
     link.call(RECEIVE_TIMEOUT, call).await;
     true
 }
--- a/crates/gate/src/exchange.rs
+++ b/crates/gate/src/exchange.rs
@@ -121,7 +121,7 @@
     /// Handles an attempt that takes too long: the deadline has passed, or another upstream is
     /// tried as well.
     async fn handle_late(&mut self) -> Result<(), Refusal> {
-        self.note_late();
+        self.record_late();
         if self.tables.now() >= self.deadline {
             return Err(Kind::Late.into());
         }
@@ -159,7 +159,7 @@
         Duration::from_secs_f64(latency * HEDGE_AFTER * f64::from(self.attempts)).max(MIN_HEDGE)
     }
 
-    fn note_late(&self) {
+    fn record_late(&self) {
         let now = self.tables.now();
         let Some(upstream) = self.last_upstream else { return };
         self.queue(|queue| queue.upstreams.late(upstream, now));
--- a/crates/gate/src/follow.rs
+++ b/crates/gate/src/follow.rs
@@ -179,7 +179,7 @@
     let incarnation = tables.incarnation();
     warn!("gate: the lease has expired");
     tables.ring.add("gate", "the lease has expired, a new incarnation begins");
-    tables.resources(|b| b.clear());
+    tables.resources(|r| r.clear());
     tables.reset_reported();
     tables.next_incarnation();
     tables.handle_event(Event::LeaseLost);
--- a/crates/gate/src/keyed.rs
+++ b/crates/gate/src/keyed.rs
@@ -13,7 +13,7 @@
 
 use myrtle_base::{Kind, Ran, winner};
 use myrtle_cell::Unit;
-use myrtle_peer::{Done, GatePeerClient, Link};
+use myrtle_peer::{GatePeerClient, KeyOutcome, Link};
 use myrtle_route::{Decision, SavedAnswer, bucket_of};
 
 use crate::call::Call;
@@ -65,12 +65,12 @@
                 Ok(()) => exchange(tables, call, &Arc::new(head), &body, deadline).await,
                 Err(refusal) => Err(refusal),
             };
-            let done = match &result {
-                Ok(answer) => Done::Answered(saved(answer)),
-                Err(refusal) if refusal.kind.ran() == Ran::No => Done::NotRun,
-                Err(_) => Done::Unknown,
+            let outcome = match &result {
+                Ok(answer) => KeyOutcome::Answered(saved(answer)),
+                Err(refusal) if refusal.kind.ran() == Ran::No => KeyOutcome::NotRun,
+                Err(_) => KeyOutcome::Unknown,
             };
-            tokio::spawn(report_end(tables.clone(), home, key, done));
+            tokio::spawn(report_end(tables.clone(), home, key, outcome));
             result.map(complete)
         }
     }
@@ -81,17 +81,17 @@
     if tables.lease_left().is_zero() || !tables.is_listed() {
         return None;
     }
-    tables.resources(|b| b.bucket(&key).map(|bucket| bucket.begin(key, hash, runner, wall())))
+    tables.resources(|r| r.bucket(&key).map(|bucket| bucket.begin(key, hash, runner, wall())))
 }
 
 /// Records at this gate how a request ended, if it coordinates the key's bucket.
-pub fn end_here(tables: &Tables, key: &Uuid, done: &Done) -> bool {
-    tables.resources(|b| {
-        let Some(bucket) = b.bucket(key) else { return false };
-        match done {
-            Done::Answered(saved) => bucket.ended(key, saved.clone()),
-            Done::NotRun => bucket.not_run(key),
-            Done::Unknown => bucket.unknown(key),
+pub fn end_here(tables: &Tables, key: &Uuid, outcome: &KeyOutcome) -> bool {
+    tables.resources(|r| {
+        let Some(bucket) = r.bucket(key) else { return false };
+        match outcome {
+            KeyOutcome::Answered(saved) => bucket.ended(key, saved.clone()),
+            KeyOutcome::NotRun => bucket.not_run(key),
+            KeyOutcome::Unknown => bucket.unknown(key),
         }
         true
     })
@@ -120,12 +120,12 @@
 }
 
 /// Reports the end of a request to the coordinator of its key, on behalf of another gate.
-pub async fn end_for(tables: &Arc<Tables>, key: Uuid, done: Done, forwarded: bool) {
-    if end_here(tables, &key, &done) || forwarded {
+pub async fn end_for(tables: &Arc<Tables>, key: Uuid, outcome: KeyOutcome, forwarded: bool) {
+    if end_here(tables, &key, &outcome) || forwarded {
         return;
     }
     let home = tables.settings.data_centre.clone();
-    report_end(tables.clone(), home, key, done).await;
+    report_end(tables.clone(), home, key, outcome).await;
 }
 
 /// The data centre whose gates coordinate the key: as the caller says, or else chosen by the key.
@@ -181,14 +181,14 @@
     link.call(REPLY_TIMEOUT, call).await
 }
 
-async fn report_end(tables: Arc<Tables>, home: String, key: Uuid, done: Done) {
+async fn report_end(tables: Arc<Tables>, home: String, key: Uuid, outcome: KeyOutcome) {
     for _ in 0..MAX_REPORTS {
         match coordinator(&tables, &home, &key) {
-            Some(Coordinator::ThisGate) if end_here(&tables, &key, &done) => return,
+            Some(Coordinator::ThisGate) if end_here(&tables, &key, &outcome) => return,
             Some(Coordinator::OtherGate(link, forwarded)) => {
-                let (stamp, done) = (tables.ring.clock().tick(), done.clone());
+                let (stamp, outcome) = (tables.ring.clock().tick(), outcome.clone());
                 let call = |c: GatePeerClient, x| async move {
-                    c.end(x, stamp, key, done, forwarded).await
+                    c.end(x, stamp, key, outcome, forwarded).await
                 };
                 if link.call(REPLY_TIMEOUT, call).await.is_some() {
                     return;
--- a/crates/gate/src/queue.rs
+++ b/crates/gate/src/queue.rs
@@ -120,19 +120,19 @@
             && !self.admit.too_late(&arrival, now)
             && let Some(ticket) = self.take(now, avoid, 1)
         {
-            self.note_peak();
+            self.update_peak();
             return Ok(ticket);
         }
         let id = self.next;
         self.next += 1;
-        let (sender, turn) = oneshot::channel();
+        let (sender, result) = oneshot::channel();
         self.waiting.insert(id, sender);
         let slots = self.slots();
         let rejected = self.admit.enter(Arrival { id, ..arrival }, slots, now);
         self.refuse(rejected);
-        self.note_peak();
+        self.update_peak();
         self.dispatch(now);
-        Err(turn)
+        Err(result)
     }
 
     /// Gives free slots to waiting requests in the order of the queue.
@@ -181,7 +181,7 @@
             self.last_peak = std::mem::replace(&mut self.peak, 0);
             self.peak_since = now;
         }
-        self.note_peak();
+        self.update_peak();
         self.peak.max(self.last_peak)
     }
 
@@ -206,7 +206,7 @@
         self.upstreams.held().max(self.even_split)
     }
 
-    fn note_peak(&mut self) {
+    fn update_peak(&mut self) {
         let needed = self.upstreams.busy() + self.admit.len() as u32;
         self.peak = self.peak.max(needed);
     }
--- a/crates/gate/src/rebalance.rs
+++ b/crates/gate/src/rebalance.rs
@@ -37,7 +37,7 @@
 /// this gate's view.
 pub fn settled(tables: &Tables) -> bool {
     let view = tables.view.load();
-    let own = tables.resources(|b| b.resources());
+    let own = tables.resources(|r| r.resources());
     let coordinated = |bucket| {
         let resource = Unit::Keys(bucket);
         let assigned = view.peering.units.get(&resource);
@@ -65,6 +65,6 @@
         let best = winner(up(), &resource.to_string())?;
         (best != tables.name()).then(|| best.to_string())
     };
-    let resources = tables.resources(|b| b.resources());
+    let resources = tables.resources(|r| r.resources());
     resources.into_iter().filter_map(|u| Some((u.clone(), better(&u)?))).collect()
 }
--- a/crates/gate/src/rpc.rs
+++ b/crates/gate/src/rpc.rs
@@ -7,7 +7,7 @@
 
 use myrtle_base::Stamp;
 use myrtle_cell::Unit;
-use myrtle_peer::{CoordinatorReply, Done, GatePeer, ResourceState};
+use myrtle_peer::{CoordinatorReply, GatePeer, KeyOutcome, ResourceState};
 use myrtle_route::{Ask, Decision};
 
 use crate::keyed;
@@ -42,9 +42,9 @@
         keyed::begin_for(&self.0, key, hash, runner, forwarded).await
     }
 
-    async fn end(self, _: Context, stamp: Stamp, key: Uuid, done: Done, forwarded: bool) {
+    async fn end(self, _: Context, stamp: Stamp, key: Uuid, outcome: KeyOutcome, forwarded: bool) {
         self.0.ring.clock().merge(stamp);
-        keyed::end_for(&self.0, key, done, forwarded).await;
+        keyed::end_for(&self.0, key, outcome, forwarded).await;
     }
 
     async fn stop(self, _: Context) -> bool {
@@ -56,7 +56,7 @@
     async fn receive(self, _: Context, resource: Unit, from: String, state: ResourceState) -> bool {
         let now = self.0.now();
         self.0.ring.add("gate", format!("receives {resource} from {from}"));
-        self.0.resources(|b| b.receive(resource, state, now));
+        self.0.resources(|r| r.receive(resource, state, now));
         true
     }
 }
--- a/crates/peer/src/gate.rs
+++ b/crates/peer/src/gate.rs
@@ -18,7 +18,7 @@
 
 /// How a request with a key ended at the gate that ran it.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub enum Done {
+pub enum KeyOutcome {
     /// The upstream answered.
     Answered(SavedAnswer),
     /// No upstream received the request.
@@ -52,7 +52,7 @@
     async fn begin(stamp: Stamp, key: Uuid, hash: u64, runner: u64, forwarded: bool) -> Decision;
 
     /// Reports to the coordinator of a key how its request ended.
-    async fn end(stamp: Stamp, key: Uuid, done: Done, forwarded: bool);
+    async fn end(stamp: Stamp, key: Uuid, outcome: KeyOutcome, forwarded: bool);
 
     /// Starts a planned stop; an operator's command, which the port for callers does not accept.
     async fn stop() -> bool;
--- a/crates/peer/src/lib.rs
+++ b/crates/peer/src/lib.rs
@@ -10,7 +10,7 @@
 
 pub use front::{FrontPeer, FrontPeerClient, FrontPeerRequest, FrontPeerResponse, Passed, Seen};
 pub use gate::{
-    CoordinatorReply, Done, GatePeer, GatePeerClient, GatePeerRequest, GatePeerResponse,
+    CoordinatorReply, GatePeer, GatePeerClient, GatePeerRequest, GatePeerResponse, KeyOutcome,
     ResourceState,
 };
 pub use link::Link;
--- a/crates/peer/src/link.rs
+++ b/crates/peer/src/link.rs
@@ -18,7 +18,7 @@
 
 /// How long a new connection without any answer is kept, so that a peer that is stopped for a while
 /// doesn't find many of them when it continues.
-const NEW: Duration = Duration::from_secs(3);
+const GRACE: Duration = Duration::from_secs(3);
 
 /// One peer's connection, shared by all callers.
 ///
@@ -96,7 +96,7 @@
         let Connection { client, opened_at, answered_at } = self.connection().await?;
         let sent = Instant::now();
         // On a new connection, a missing answer means that the peer is slow.
-        let established = answered_at.is_some() || sent > opened_at + NEW;
+        let established = answered_at.is_some() || sent > opened_at + GRACE;
         let number = lock(&self.doubt).sent(wait, true, established, sent);
         let pending = PendingCall { doubt: &self.doubt, number };
         let mut context = context::current();
--- a/crates/route/src/admit.rs
+++ b/crates/route/src/admit.rs
@@ -18,7 +18,7 @@
 const MAX_WAIT: f64 = 0.7;
 
 /// A request with less remaining time than this many mean slot times is refused.
-const MIN_TIMES: f64 = 1.5;
+const MIN_SLOT_TIMES: f64 = 1.5;
 
 /// Waiting requests per slot above which the cheapest are refused, whatever their deadlines.
 const MAX_QUEUED: usize = 16;
@@ -121,7 +121,7 @@
 
     /// Whether a request has too little time left to be run at all.
     pub fn too_late(&self, arrival: &Arrival, now: Duration) -> bool {
-        arrival.deadline.saturating_sub(now).as_secs_f64() < self.mean_secs * MIN_TIMES
+        arrival.deadline.saturating_sub(now).as_secs_f64() < self.mean_secs * MIN_SLOT_TIMES
     }
 
     /// Removes the request that gets the next free slot; refuses those that are too late.
--- a/crates/route/src/allocations.rs
+++ b/crates/route/src/allocations.rs
@@ -54,8 +54,8 @@
 
     /// Applies the coordinator's reply to a request that was sent at `sent`.
     ///
-    /// `bound` is the time until which the coordinator itself may allocate.
-    pub fn offer(&mut self, resource: &str, offer: Offer, sent: Duration, bound: Duration) {
+    /// `lease_end` is the time until which the coordinator itself may allocate.
+    pub fn apply(&mut self, resource: &str, offer: Offer, sent: Duration, lease_end: Duration) {
         let held = self.all.entry(resource.into()).or_default();
         if offer.lent > held.granted + held.granted / 2 {
             held.grew_at = Some(sent);
@@ -63,7 +63,7 @@
         held.granted = offer.lent;
         held.fair = offer.fair;
         held.answered = held.want;
-        held.until = (sent + ALLOCATION_TTL).min(bound);
+        held.until = (sent + ALLOCATION_TTL).min(lease_end);
     }
 
     /// Whether the allocation must be renewed soon, or another amount is wanted.
--- a/crates/route/src/ledger.rs
+++ b/crates/route/src/ledger.rs
@@ -108,7 +108,7 @@
         let fair = self.fair_share(gate);
         let spare = self.limit.saturating_sub(self.allocated());
         let more = fair.saturating_sub(granted).min(spare);
-        let allocation = self.allocations.get_mut(gate).expect("it was just entered");
+        let allocation = self.allocations.get_mut(gate).expect("it was just inserted");
         allocation.granted += more;
         Some(Offer { lent: allocation.granted, fair })
     }
--- a/crates/route/src/rate.rs
+++ b/crates/route/src/rate.rs
@@ -22,17 +22,17 @@
 }
 
 impl Rate {
-    /// Takes a token and counts the request as demand; `share` is in requests a second.
+    /// Takes a token and counts the request as demand; `allocated` is in requests a second.
     ///
     /// If there is no token, returns the time until there will be one.
-    pub fn take(&mut self, share: u32, now: Duration) -> Result<(), Duration> {
+    pub fn take(&mut self, allocated: u32, now: Duration) -> Result<(), Duration> {
         self.requested += 1;
-        self.retry(share, now)
+        self.retry(allocated, now)
     }
 
     /// Takes a token for a request that was already counted as demand.
-    pub fn retry(&mut self, share: u32, now: Duration) -> Result<(), Duration> {
-        let rate = f64::from(share);
+    pub fn retry(&mut self, allocated: u32, now: Duration) -> Result<(), Duration> {
+        let rate = f64::from(allocated);
         let passed = now.saturating_sub(self.refilled_at).as_secs_f64();
         self.refilled_at = now;
         self.tokens = (self.tokens + passed * rate).min(rate * BURST_SECS);
@@ -40,7 +40,7 @@
             self.tokens -= 1.0;
             return Ok(());
         }
-        let wait = if share == 0 { 1.0 } else { (1.0 - self.tokens) / rate };
+        let wait = if allocated == 0 { 1.0 } else { (1.0 - self.tokens) / rate };
         Err(Duration::from_secs_f64(wait))
     }
 
--- a/crates/route/tests/rate.rs
+++ b/crates/route/tests/rate.rs
@@ -15,7 +15,7 @@
 fn allocated(want: u32, granted: u32) -> Allocations {
     let mut allocations = Allocations::default();
     allocations.ask("p", 0, want, ms(0));
-    allocations.offer("p", Offer { lent: granted, fair: granted }, ms(0), ALLOCATION_TTL);
+    allocations.apply("p", Offer { lent: granted, fair: granted }, ms(0), ALLOCATION_TTL);
     allocations
 }
 
@@ -66,6 +66,6 @@
 #[test]
 fn a_small_increase_does_not_count_as_growth() {
     let mut allocations = allocated(100, 30);
-    allocations.offer("p", Offer { lent: 36, fair: 36 }, ms(2_000), ALLOCATION_TTL);
+    allocations.apply("p", Offer { lent: 36, fair: 36 }, ms(2_000), ALLOCATION_TTL);
     assert!(!allocations.growing("p", 100, RATE, ms(2_100)));
 }
