--- a/crates/gate/src/drain.rs
+++ b/crates/gate/src/drain.rs
@@ -104,8 +104,8 @@
     let (resource, from) = (resource.clone(), tables.name().to_string());
     let link = tables.gate_link(at);
     let call = |c: GatePeerClient, x| async move { c.receive(x, resource, from, state).await };
-    // Without a reply the new coordinator may have no state; it then waits until earlier allocations
-    // have expired, and treats earlier keys as unknown.
+    // Without a reply the new coordinator may have no state; it then waits until earlier
+    // allocations have expired, and treats earlier keys as unknown.
     link.call(RECEIVE_TIMEOUT, call).await;
     true
 }
--- a/crates/gate/tests/requests.rs
+++ b/crates/gate/tests/requests.rs
@@ -263,7 +263,7 @@
     tokio::time::sleep(Duration::from_secs(1)).await;
     let leaving = site.gates.remove(0);
     let finished = leaving.drain().await;
-    until("the stopped gate's resources have a coordinator again", || site.gates.iter().all(|g| g.ready())).await;
+    until("all resources have a coordinator", || site.gates.iter().all(|g| g.ready())).await;
     tokio::time::sleep(Duration::from_secs(1)).await;
     stop.store(true, std::sync::atomic::Ordering::Relaxed);
     join_all(loads).await;
--- a/crates/route/tests/rate.rs
+++ b/crates/route/tests/rate.rs
@@ -48,10 +48,10 @@
 /// Defines a test of whether an allocation counts as growing: the amount asked for, granted and
 /// wanted now, and the milliseconds since it was granted.
 macro_rules! growing {
-    ($name:ident, $asked:literal, $granted:literal, $want:literal, $after:literal, $grows:literal) => {
+    ($name:ident, $asked:literal, $got:literal, $want:literal, $after:literal, $grows:literal) => {
         #[test]
         fn $name() {
-            let allocations = allocated($asked, $granted);
+            let allocations = allocated($asked, $got);
             assert_eq!(allocations.growing("p", $want, RATE, ms($after)), $grows);
         }
     };
