--- a/crates/platform/src/call.rs
+++ b/crates/platform/src/call.rs
@@ -1,4 +1,4 @@
-//! One HTTP call with a bound on its time.
+//! HTTP calls with a timeout over pooled connections.
 
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -15,39 +15,39 @@
 use serde::Serialize;
 use serde::de::DeserializeOwned;
 
-/// The largest answer that is taken in, in bytes.
-const MAX_ANSWER: usize = 16 << 20;
+/// The maximum size of a reply, in bytes.
+const MAX_REPLY: usize = 16 << 20;
 
-/// Why a call gave no good answer.
+/// The failure of a call.
 #[derive(Debug, Clone, PartialEq, Eq, Display)]
 pub enum Failure {
-    /// Nothing was sent.
+    /// The connection failed; nothing was sent.
     #[display("cannot connect to {_0}")]
     Connect(SocketAddr),
-    /// It was sent; whether it took effect is unknown.
-    #[display("no answer from {_0}")]
+    /// The call was sent but got no reply; whether it took effect is unknown.
+    #[display("no reply from {_0}")]
     Lost(SocketAddr),
-    /// It was answered with another status than 2xx.
-    #[display("answered {_0}: {_1}")]
+    /// The reply's status is not 2xx.
+    #[display("status {_0}: {_1}")]
     Status(u16, String),
-    /// The answer cannot be read.
-    #[display("cannot read the answer: {_0}")]
+    /// The reply can't be decoded, or the request can't be encoded.
+    #[display("malformed request or reply: {_0}")]
     Garbage(String),
 }
 
 impl std::error::Error for Failure {}
 
-/// The kept connections to one address.
-type Ways = Client<HttpConnector, Full<Bytes>>;
+/// The connection pool of one address.
+type HttpClient = Client<HttpConnector, Full<Bytes>>;
 
-/// Makes calls over kept connections.
+/// Makes calls over pooled connections.
 #[derive(Debug, Clone, Default)]
 pub struct Caller {
-    ways: Arc<Mutex<HashMap<SocketAddr, Ways>>>,
+    clients: Arc<Mutex<HashMap<SocketAddr, HttpClient>>>,
 }
 
 impl Caller {
-    /// Sends `body` and returns the answer's body if the status is 2xx.
+    /// Sends `body` and returns the reply's body if the status is 2xx.
     pub async fn call(
         &self,
         method: Method,
@@ -61,11 +61,11 @@
             .uri(format!("http://{at}{path}"))
             .body(Full::from(body))
             .map_err(|e| Failure::Garbage(e.to_string()))?;
-        let ways = self.ways().entry(at).or_insert_with(ways).clone();
-        let answer = tokio::time::timeout(limit, exchange(ways, at, request)).await;
-        answer.unwrap_or_else(|_| {
-            // The other kept connections may have gone silent at the same time.
-            self.ways().remove(&at);
+        let client = self.clients().entry(at).or_insert_with(new_client).clone();
+        let reply = tokio::time::timeout(limit, exchange(client, at, request)).await;
+        reply.unwrap_or_else(|_| {
+            // The other idle connections may have gone silent at the same time.
+            self.clients().remove(&at);
             Err(Failure::Lost(at))
         })
     }
@@ -81,7 +81,7 @@
         read_json(&bytes)
     }
 
-    /// Posts a JSON value and reads one back.
+    /// Posts a JSON value and decodes the JSON reply.
     pub async fn post<T: DeserializeOwned>(
         &self,
         at: SocketAddr,
@@ -94,12 +94,12 @@
         read_json(&bytes)
     }
 
-    fn ways(&self) -> MutexGuard<'_, HashMap<SocketAddr, Ways>> {
-        self.ways.lock().expect("no holder panics")
+    fn clients(&self) -> MutexGuard<'_, HashMap<SocketAddr, HttpClient>> {
+        self.clients.lock().expect("no holder panics")
     }
 }
 
-fn ways() -> Ways {
+fn new_client() -> HttpClient {
     let mut connector = HttpConnector::new();
     connector.set_nodelay(true);
     connector.set_connect_timeout(Some(Duration::from_secs(1)));
@@ -107,16 +107,16 @@
 }
 
 async fn exchange(
-    ways: Ways,
+    client: HttpClient,
     at: SocketAddr,
     request: Request<Full<Bytes>>,
 ) -> Result<Bytes, Failure> {
-    let answer = ways.request(request).await.map_err(|e| match e.is_connect() {
+    let reply = client.request(request).await.map_err(|e| match e.is_connect() {
         true => Failure::Connect(at),
         false => Failure::Lost(at),
     })?;
-    let status = answer.status();
-    let body = Limited::new(answer.into_body(), MAX_ANSWER).collect().await;
+    let status = reply.status();
+    let body = Limited::new(reply.into_body(), MAX_REPLY).collect().await;
     let bytes = body.map_err(|_| Failure::Lost(at))?.to_bytes();
     if !status.is_success() {
         let text = String::from_utf8_lossy(&bytes).into_owned();
--- a/crates/platform/src/hosts.rs
+++ b/crates/platform/src/hosts.rs
@@ -1,4 +1,4 @@
-//! The host list: who is there and who is leaving, some time ago.
+//! The client of the host list, which lists hosts and whether they are leaving, with some delay.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -9,10 +9,10 @@
 
 use crate::{Caller, Failure};
 
-/// How long a look at the list may take.
-const LIMIT: Duration = Duration::from_secs(2);
+/// The timeout of a call.
+const TIMEOUT: Duration = Duration::from_secs(2);
 
-/// What a host is.
+/// The role of a host.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum Role {
@@ -24,39 +24,39 @@
     Worker,
 }
 
-/// One line of the list.
+/// An entry of the list.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Host {
-    /// Its name.
+    /// The name of the host.
     pub name: String,
-    /// What it is.
+    /// The role of the host.
     pub role: Role,
-    /// Its data centre.
+    /// The data centre of the host.
     pub data_centre: String,
-    /// Its rack, for workers.
+    /// The rack, for workers.
     #[serde(default)]
     pub rack: String,
-    /// Its HTTP address: the control interface of a worker, or the port of a gate or sched.
+    /// The HTTP address: the control interface of a worker, or the port of a gate or sched.
     pub http: SocketAddr,
-    /// Where a gate or sched listens for its peers, or where a worker's upstream serves.
+    /// The address where a gate or sched listens for peers, or where a worker's upstream serves.
     pub peer: SocketAddr,
     /// The service whose upstream a worker runs.
     #[serde(default)]
     pub service: String,
-    /// What a worker has for tasks.
+    /// The room of a worker for tasks.
     #[serde(default)]
     pub room: Room,
-    /// Whether it is leaving.
+    /// Whether the host is leaving.
     #[serde(default)]
     pub leaving: bool,
 }
 
-/// What a data centre's hosts need of the list.
+/// The entries of the list that the hosts of one data centre need.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Part {
-    /// A mark of the part's content.
+    /// A hash of these entries.
     pub mark: u64,
-    /// The data centre's hosts and the gates of the others; nothing if the mark is the known one.
+    /// The data centre's hosts and the gates of the others; `None` if `mark` equals the caller's.
     pub hosts: Option<Vec<Host>>,
 }
 
@@ -68,24 +68,24 @@
 }
 
 impl HostList {
-    /// A client of the list at `at`.
+    /// Creates a client of the list at `at`.
     pub fn new(caller: Caller, at: SocketAddr) -> Self {
         Self { caller, at }
     }
 
-    /// The part of the list that a data centre needs, unless its mark is `known`.
+    /// Fetches the entries that a data centre needs, without hosts if their hash is `known`.
     pub async fn part(&self, centre: &str, known: u64) -> Result<Part, Failure> {
         let path = format!("/hosts?data_centre={centre}&known={known}");
-        self.caller.get(self.at, &path, LIMIT).await
+        self.caller.get(self.at, &path, TIMEOUT).await
     }
 
-    /// The whole list as the platform tells it now.
+    /// Fetches the whole list.
     pub async fn list(&self) -> Result<Vec<Host>, Failure> {
-        self.caller.get(self.at, "/hosts", LIMIT).await
+        self.caller.get(self.at, "/hosts", TIMEOUT).await
     }
 
-    /// Enters a host, or its new addresses.
+    /// Adds a host or updates its entry.
     pub async fn enter(&self, host: &Host) -> Result<(), Failure> {
-        self.caller.post(self.at, "/hosts", host, LIMIT).await
+        self.caller.post(self.at, "/hosts", host, TIMEOUT).await
     }
 }
--- a/crates/platform/src/lib.rs
+++ b/crates/platform/src/lib.rs
@@ -1,4 +1,4 @@
-//! Clients of what the platform gives: the log service, the host list and the workers.
+//! Clients of the platform's services (log service, host list, workers) and a small HTTP server.
 
 mod call;
 mod hosts;
--- a/crates/platform/src/log.rs
+++ b/crates/platform/src/log.rs
@@ -1,4 +1,4 @@
-//! The log service: streams of records with offsets, kept for a limited time.
+//! The client of the log service, which stores streams of records for a limited time.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -11,41 +11,41 @@
 
 use crate::{Caller, Failure};
 
-/// How long an append may take before its answer counts as lost.
-const APPEND: Duration = Duration::from_secs(2);
+/// The timeout of an append, after which its outcome is unknown.
+const APPEND_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// How much longer than the asked wait a read may take.
-const SLACK: Duration = Duration::from_secs(2);
+/// The time that a read may take in addition to its wait.
+const READ_MARGIN: Duration = Duration::from_secs(2);
 
 /// One record of a stream.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Entry {
-    /// Its place from 0.
+    /// The offset in the stream, from 0.
     pub offset: u64,
-    /// When the log took it in, by the log's clock.
+    /// The time of the append, on the log's clock.
     pub time: Millis,
-    /// What was appended.
+    /// The content of the record.
     pub data: Vec<u8>,
 }
 
-/// Consecutive records.
+/// A page of consecutive records.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Page {
-    /// The records, in order; none if the wait passed without one.
+    /// The records, in order; empty if none arrived within the wait.
     pub entries: Vec<Entry>,
-    /// The log's clock.
+    /// The time of the read, on the log's clock.
     pub time: Millis,
-    /// Whether there were more than fit on the page.
+    /// Whether more records follow than fit on the page.
     pub more: bool,
 }
 
-/// Why a read gave no page.
+/// The error of a read.
 #[derive(Debug, Clone, PartialEq, Eq, Display)]
 pub enum ReadError {
-    /// The records are no longer kept; the first kept one has this offset.
-    #[display("records before {_0} are no longer kept")]
+    /// The records have been deleted; the first remaining one has this offset.
+    #[display("records before offset {_0} have been deleted")]
     Gone(u64),
-    /// The log cannot be read.
+    /// The call to the log failed.
     #[display("{_0}")]
     Away(Failure),
 }
@@ -58,33 +58,34 @@
 }
 
 impl LogClient {
-    /// A client of the service at `at`.
+    /// Creates a client of the service at `at`.
     pub fn new(caller: Caller, at: SocketAddr) -> Self {
         Self { caller, at }
     }
 
-    /// Appends a record; after [`Failure::Lost`] it may or may not be there.
+    /// Appends a record and returns its offset; after [`Failure::Lost`] it may or may not be appended.
     pub async fn append(&self, stream: &str, data: Vec<u8>) -> Result<u64, Failure> {
         let path = format!("/streams/{stream}");
-        let bytes = self.caller.call(Method::POST, self.at, &path, data, APPEND).await?;
+        let bytes = self.caller.call(Method::POST, self.at, &path, data, APPEND_TIMEOUT).await?;
         serde_json::from_slice(&bytes).map_err(|e| Failure::Garbage(e.to_string()))
     }
 
-    /// Reads records from `from` on, waiting up to `wait` for the first.
+    /// Reads records from offset `from` on, waiting up to `wait` for the first one.
     ///
-    /// The page holds everything that was in the stream when the read arrived, up to the
-    /// service's limit on pages; an empty page means that there was nothing.
+    /// The page contains all records in the stream when the read arrived, up to the service's
+    /// page limit; an empty page means that there were none.
     pub async fn read(&self, stream: &str, from: u64, wait: Duration) -> Result<Page, ReadError> {
         let path = format!("/streams/{stream}?from={from}&wait_ms={}", wait.as_millis());
-        let answer = self.caller.call(Method::GET, self.at, &path, Vec::new(), wait + SLACK).await;
-        let bytes = match answer {
+        let reply =
+            self.caller.call(Method::GET, self.at, &path, Vec::new(), wait + READ_MARGIN).await;
+        let bytes = match reply {
             Ok(bytes) => bytes,
             Err(Failure::Status(410, text)) => {
                 return Err(ReadError::Gone(text.trim().parse().unwrap_or_default()));
             }
             Err(e) => return Err(ReadError::Away(e)),
         };
-        let garbage = |e: postcard::Error| ReadError::Away(Failure::Garbage(e.to_string()));
-        postcard::from_bytes(&bytes).map_err(garbage)
+        let malformed = |e: postcard::Error| ReadError::Away(Failure::Garbage(e.to_string()));
+        postcard::from_bytes(&bytes).map_err(malformed)
     }
 }
--- a/crates/platform/src/serve.rs
+++ b/crates/platform/src/serve.rs
@@ -1,4 +1,4 @@
-//! A small HTTP server for operators and stand-ins: whole requests in, whole answers out.
+//! A small HTTP server for operator interfaces and stand-ins, which buffers whole requests and replies.
 
 use std::convert::Infallible;
 use std::time::Duration;
@@ -15,39 +15,39 @@
 use tokio::net::{TcpListener, TcpStream};
 use tokio::time::timeout;
 
-/// The largest request body that is taken in, in bytes.
+/// The maximum size of a request body, in bytes.
 const MAX_BODY: usize = 8 << 20;
 
-/// How long a caller may take to send its head.
-const HEAD: Duration = Duration::from_secs(5);
+/// The timeout for receiving the header section.
+const HEADER_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// How long a caller may take to send its body; one that went silent would be kept for good.
-const BODY: Duration = Duration::from_secs(10);
+/// The timeout for receiving the body; without it, the connection of a silent client stays open forever.
+const BODY_TIMEOUT: Duration = Duration::from_secs(10);
 
-/// A whole request.
+/// A request with its whole body.
 #[derive(Debug, Clone)]
 pub struct Ask {
-    /// The method.
+    /// The HTTP method.
     pub method: Method,
     /// The path without the query.
     pub path: String,
-    /// The query, empty if there is none.
+    /// The query; empty if there is none.
     pub query: String,
-    /// The headers.
+    /// The request headers.
     pub headers: HeaderMap,
-    /// The body.
+    /// The whole body.
     pub body: Bytes,
 }
 
 impl Ask {
-    /// A value of the query.
+    /// The value of a query parameter.
     pub fn param(&self, key: &str) -> Option<&str> {
         let pairs = self.query.split('&').filter_map(|p| p.split_once('='));
         pairs.into_iter().find(|p| p.0 == key).map(|p| p.1)
     }
 }
 
-/// A whole answer.
+/// A reply with its whole body.
 pub type Answer = Response<Full<Bytes>>;
 
 /// Serves connections until the future is dropped.
@@ -69,21 +69,21 @@
     R: Future<Output = Answer> + Send + 'static,
 {
     let _ = stream.set_nodelay(true);
-    let service = service_fn(move |request| one(request, handle.clone()));
+    let service = service_fn(move |request| respond(request, handle.clone()));
     let served = http1::Builder::new()
         .timer(TokioTimer::new())
-        .header_read_timeout(HEAD)
+        .header_read_timeout(HEADER_TIMEOUT)
         .serve_connection(TokioIo::new(stream), service);
-    // What went wrong on a connection is its peer's to notice.
+    // The client notices errors of the connection.
     let _ = served.await;
 }
 
-/// An answer of plain text.
+/// A plain-text reply.
 pub fn text(status: u16, body: impl Into<String>) -> Answer {
     answer(status, "text/plain; charset=utf-8", body.into().into_bytes())
 }
 
-/// An answer of JSON.
+/// A JSON reply with status 200, or 500 if the value can't be encoded.
 pub fn json(value: &impl Serialize) -> Answer {
     match serde_json::to_vec(value) {
         Ok(body) => answer(200, "application/json", body),
@@ -91,7 +91,7 @@
     }
 }
 
-/// An answer of any kind.
+/// A reply with the given status and content type.
 pub fn answer(status: u16, content: &str, body: Vec<u8>) -> Answer {
     let mut answer = Response::new(Full::from(body));
     *answer.status_mut() = StatusCode::from_u16(status).unwrap_or_default();
@@ -101,13 +101,13 @@
     answer
 }
 
-async fn one<F, R>(request: Request<Incoming>, handle: F) -> Result<Answer, Infallible>
+async fn respond<F, R>(request: Request<Incoming>, handle: F) -> Result<Answer, Infallible>
 where
     F: Fn(Ask) -> R,
     R: Future<Output = Answer>,
 {
     let (head, body) = request.into_parts();
-    let body = match timeout(BODY, Limited::new(body, MAX_BODY).collect()).await {
+    let body = match timeout(BODY_TIMEOUT, Limited::new(body, MAX_BODY).collect()).await {
         Ok(Ok(body)) => body,
         Ok(Err(_)) => {
             return Ok(text(413, format!("the body is larger than {MAX_BODY} bytes or was cut")));
--- a/crates/platform/src/worker.rs
+++ b/crates/platform/src/worker.rs
@@ -1,4 +1,4 @@
-//! The control interface of a worker: one exchange starts, stops and reports.
+//! The client of a worker's control interface, where one exchange starts, stops and reports attempts.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -9,30 +9,30 @@
 
 use crate::{Caller, Failure};
 
-/// How long an exchange may take.
-const LIMIT: Duration = Duration::from_millis(1500);
+/// The timeout of an exchange.
+const TIMEOUT: Duration = Duration::from_millis(1500);
 
-/// What a host tells a worker; repeating it does no harm.
+/// A host's request to a worker; it is idempotent.
 #[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize)]
 pub struct SyncRequest {
-    /// The life of the worker that this is meant for; another life takes in nothing.
+    /// The incarnation of the worker that this is for; other incarnations ignore it.
     pub boot: u64,
-    /// The worker's clock at which the lease of its tasks ends.
+    /// When the lease of the worker's tasks expires, on the worker's clock.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub lease: Option<Millis>,
-    /// Attempts to start, unless they were started or stopped before.
+    /// Attempts to start, except those started or stopped before.
     #[serde(default, skip_serializing_if = "Vec::is_empty")]
     pub start: Vec<Start>,
-    /// Attempts to stop after a checkpoint; later starts of them are refused.
+    /// Attempts to stop after a checkpoint; the worker refuses to start them later.
     #[serde(default, skip_serializing_if = "Vec::is_empty")]
     pub stop: Vec<Stop>,
-    /// Attempts to slow down.
+    /// Attempts to throttle.
     #[serde(default, skip_serializing_if = "Vec::is_empty")]
     pub throttle: Vec<Throttle>,
-    /// Ends that are recorded and need not be reported again.
+    /// Ended attempts that are recorded and need not be reported again.
     #[serde(default, skip_serializing_if = "Vec::is_empty")]
     pub noted: Vec<Stop>,
-    /// Reports up to this number were seen.
+    /// The number of the newest report that the host has seen.
     pub seen: u64,
 }
 
@@ -41,101 +41,101 @@
 pub struct Start {
     /// The task's name, unique in the data centre.
     pub task: String,
-    /// The attempt.
+    /// The number of the attempt.
     pub attempt: u16,
-    /// What it is given.
+    /// The room allocated to it.
     pub room: Room,
-    /// What it does.
+    /// The kind of work.
     pub kind: String,
-    /// How long it is expected to run; none for a watcher.
+    /// The expected run time; `None` for a watcher.
     pub run_time: Option<Millis>,
-    /// The checkpoint it resumes from, 0 for the beginning.
+    /// The checkpoint to resume from; 0 is the beginning.
     pub checkpoint: u32,
-    /// Whether it stops when the lease ends.
+    /// Whether it stops when the lease expires.
     pub leased: bool,
 }
 
-/// An attempt to stop, or whose end is recorded.
+/// An attempt to stop, or one whose end is recorded.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Stop {
     /// The task's name.
     pub task: String,
-    /// The attempt.
+    /// The number of the attempt.
     pub attempt: u16,
 }
 
-/// An attempt to slow down.
+/// An attempt to throttle.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Throttle {
     /// The task's name.
     pub task: String,
-    /// The attempt.
+    /// The number of the attempt.
     pub attempt: u16,
-    /// The share of its processors that it keeps, in percent.
+    /// The share of its processors that it may use, in percent.
     pub percent: u8,
 }
 
-/// What a worker answers.
+/// The worker's reply to an exchange.
 #[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize)]
 pub struct SyncReply {
-    /// Its life.
+    /// The worker's incarnation.
     pub boot: u64,
-    /// Its clock.
+    /// The worker's clock.
     pub clock: Millis,
     /// The number of the newest report.
     pub seen: u64,
-    /// What changed after the number that the host had seen.
+    /// The reports after the number that the host had seen.
     #[serde(default, skip_serializing_if = "Vec::is_empty")]
     pub reports: Vec<Report>,
-    /// Measured use, some time old, now and then.
+    /// The delayed resource usage, present in some replies only.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub usage: Option<UsageReport>,
 }
 
-/// Where an attempt stands.
+/// The status of an attempt.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Report {
     /// The task's name.
     pub task: String,
-    /// The attempt.
+    /// The number of the attempt.
     pub attempt: u16,
-    /// Where it stands.
+    /// The state of the attempt.
     pub state: RunState,
-    /// Its newest checkpoint.
+    /// The newest checkpoint.
     pub checkpoint: u32,
 }
 
-/// What an attempt does.
+/// The state of an attempt.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum RunState {
-    /// It runs.
+    /// The attempt is running.
     Running,
-    /// It did all its work.
+    /// The attempt completed its work.
     Done,
-    /// It failed.
+    /// The attempt failed.
     Failed,
-    /// It was stopped or its lease ended.
+    /// The attempt was stopped, or its lease expired.
     Stopped,
 }
 
-/// Measured use of a worker.
+/// The resource usage of a worker.
 #[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize)]
 pub struct UsageReport {
-    /// The worker's clock at the measurement.
+    /// The time of the measurement, on the worker's clock.
     pub at: Millis,
     /// The 99th percentile of its service's latency in microseconds, 0 if it had no request.
     pub p99_us: u64,
-    /// Use by task.
+    /// The usage by task.
     pub tasks: Vec<TaskUse>,
 }
 
-/// Measured use of one task.
+/// The resource usage of one task.
 #[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize)]
 pub struct TaskUse {
     /// The task's name.
     pub task: String,
-    /// What it used.
+    /// The room that it used.
     pub room: Room,
 }
 
@@ -147,13 +147,13 @@
 }
 
 impl WorkerClient {
-    /// A client of the worker at `at`.
+    /// Creates a client of the worker at `at`.
     pub fn new(caller: Caller, at: SocketAddr) -> Self {
         Self { caller, at }
     }
 
-    /// One exchange.
+    /// Makes one exchange.
     pub async fn sync(&self, request: &SyncRequest) -> Result<SyncReply, Failure> {
-        self.caller.post(self.at, "/sync", request, LIMIT).await
+        self.caller.post(self.at, "/sync", request, TIMEOUT).await
     }
 }
--- a/crates/platform/tests/silence.rs
+++ b/crates/platform/tests/silence.rs
@@ -1,9 +1,7 @@
-//! Kept connections to an address that go silent without a reset while new ones work.
+//! Idle connections to an address that go silent without a reset while new ones work.
 //!
-//! Symptom: after a silence of the ways to the log, call after call had no answer. Sequence: calls
-//! side by side had left several kept connections, and each later call took another silent one.
-//! Cause: only the connection that a call had waited on was given up. What settled it: calls through
-//! a relay that swallows what its open connections carry.
+//! Concurrent calls leave several idle connections. If only the connection that a call timed out on
+//! were closed, each later call would take another silent one and time out too.
 
 #[path = "../../../platform/tests/common/mod.rs"]
 mod relay;
@@ -20,13 +18,13 @@
 
 use relay::Relay;
 
-/// How long a call may take that is to find a connection silent.
+/// The timeout of a call that detects a silent connection.
 const SHORT: Duration = Duration::from_millis(500);
 
-/// Far above what a call takes.
+/// Far above the time of a call.
 const LONG: Duration = Duration::from_secs(20);
 
-/// A relay to a server.
+/// Starts a server behind a relay.
 async fn served() -> Relay {
     let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
     let relay = Relay::to(listener.local_addr().unwrap()).await;
@@ -42,7 +40,7 @@
 }
 
 #[tokio::test]
-async fn one_call_without_an_answer_clears_the_ways_to_its_address() {
+async fn a_timed_out_call_closes_all_connections_to_its_address() {
     let (one, other) = (served().await, served().await);
     let caller = Caller::default();
     let calls = (0..4).map(|_| call(&caller, &one, LONG));
@@ -55,9 +53,8 @@
     assert_eq!((one.opened(), other.opened()), (5, 1));
 }
 
-/// Symptom: a gate's or sched's own server had no descriptors left. Sequence: operators' calls went
-/// silent with half a body sent. Cause: only heads had a limit. What settled it: such a connection
-/// was still open after 20 s.
+/// Guards against a server that runs out of descriptors: without a timeout on bodies, calls that go
+/// silent with half a body sent keep their connections open.
 #[tokio::test]
 async fn a_connection_with_half_a_body_is_closed() {
     let relay = served().await;
@@ -65,5 +62,5 @@
     stream.write_all(b"POST / HTTP/1.1\r\nhost: x\r\ncontent-length: 9\r\n\r\nhalf").await.unwrap();
     let mut rest = Vec::new();
     let closed = timeout(LONG, stream.read_to_end(&mut rest)).await;
-    assert!(closed.is_ok(), "it is still open");
+    assert!(closed.is_ok(), "the connection is still open");
 }
--- a/crates/standin/src/hosts.rs
+++ b/crates/standin/src/hosts.rs
@@ -1,4 +1,4 @@
-//! The host list, which tells what was so some time ago.
+//! The stand-in for the host list, which shows changes with a delay.
 
 use std::collections::BTreeMap;
 use std::sync::Mutex;
@@ -9,11 +9,11 @@
 
 use myrtle_platform::{Answer, Ask, Host, Part, Role, json, text};
 
-/// Entries and the time from which they are told.
+/// The host list and the changes that are not visible yet.
 #[derive(Debug, Default)]
 pub struct Hosts {
-    told: Mutex<BTreeMap<String, Host>>,
-    coming: Mutex<Vec<(Instant, Change)>>,
+    visible: Mutex<BTreeMap<String, Host>>,
+    pending: Mutex<Vec<(Instant, Change)>>,
     lag: Duration,
 }
 
@@ -24,21 +24,21 @@
 }
 
 impl Hosts {
-    /// A list that lags by `lag`.
+    /// Creates a list that shows changes after `lag`.
     pub fn new(lag: Duration) -> Self {
         Self { lag, ..Self::default() }
     }
 
-    /// Enters a host or its new state.
+    /// Adds a host or updates its entry.
     pub fn enter(&self, host: Host) {
-        let mut coming = self.coming.lock().expect("no holder panics");
-        coming.push((Instant::now() + self.lag, Change::Enter(Box::new(host))));
+        let mut pending = self.pending.lock().expect("no holder panics");
+        pending.push((Instant::now() + self.lag, Change::Enter(Box::new(host))));
     }
 
     /// Removes a host.
     pub fn remove(&self, name: &str) {
-        let mut coming = self.coming.lock().expect("no holder panics");
-        coming.push((Instant::now() + self.lag, Change::Remove(name.into())));
+        let mut pending = self.pending.lock().expect("no holder panics");
+        pending.push((Instant::now() + self.lag, Change::Remove(name.into())));
     }
 
     /// Marks a host as leaving.
@@ -49,21 +49,21 @@
         }
     }
 
-    /// The list as it is told now.
+    /// The entries that are visible now.
     pub fn list(&self) -> Vec<Host> {
-        let mut told = self.told.lock().expect("no holder panics");
-        let mut coming = self.coming.lock().expect("no holder panics");
+        let mut visible = self.visible.lock().expect("no holder panics");
+        let mut pending = self.pending.lock().expect("no holder panics");
         let now = Instant::now();
-        while coming.first().is_some_and(|c| c.0 <= now) {
-            match coming.remove(0).1 {
-                Change::Enter(host) => drop(told.insert(host.name.clone(), *host)),
-                Change::Remove(name) => drop(told.remove(&name)),
+        while pending.first().is_some_and(|c| c.0 <= now) {
+            match pending.remove(0).1 {
+                Change::Enter(host) => drop(visible.insert(host.name.clone(), *host)),
+                Change::Remove(name) => drop(visible.remove(&name)),
             }
         }
-        told.values().cloned().collect()
+        visible.values().cloned().collect()
     }
 
-    /// The part of the list that a data centre needs.
+    /// The entries of the list that a data centre needs.
     fn part(&self, centre: &str, ask: &Ask) -> Part {
         let mut hosts = self.list();
         hosts.retain(|h| h.data_centre == centre || h.role == Role::Gate);
@@ -72,7 +72,7 @@
         Part { mark, hosts: (known != Some(mark)).then_some(hosts) }
     }
 
-    /// Answers a call.
+    /// Handles a request.
     pub async fn handle(&self, ask: Ask) -> Answer {
         if ask.method == hyper::Method::GET {
             return match ask.param("data_centre") {
--- a/crates/standin/src/lib.rs
+++ b/crates/standin/src/lib.rs
@@ -1,6 +1,6 @@
-//! Stand-ins for what the platform gives. Not shipped.
+//! Stand-ins for the platform's services in tests. Not shipped.
 //!
-//! They keep an honest record of what they were given and can be told to fail.
+//! They record the calls and runs that they receive, from which tests check promises, and can simulate faults.
 
 mod hosts;
 mod log;
--- a/crates/standin/src/log.rs
+++ b/crates/standin/src/log.rs
@@ -1,4 +1,4 @@
-//! The log service: offsets, limited retention, outages, lost answers.
+//! The stand-in for the log service, with limited retention, outages and lost replies.
 
 use std::collections::{BTreeMap, VecDeque};
 use std::sync::Mutex;
@@ -11,19 +11,19 @@
 use myrtle_base::Millis;
 use myrtle_platform::{Answer, Ask, Entry, Page, answer, json, text};
 
-/// Records on one page.
-const PAGE: usize = 512;
+/// The maximum number of records on a page.
+const PAGE_SIZE: usize = 512;
 
-/// What the log does to its callers.
+/// The behaviour of the log.
 #[derive(Debug, Default, Clone, Copy, PartialEq, Eq, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum LogMode {
-    /// It works.
+    /// It works normally.
     #[default]
     Ok,
-    /// It refuses everything.
+    /// It refuses all calls.
     Away,
-    /// It takes appends in and then says that it failed.
+    /// It executes appends but replies that they failed.
     Lose,
 }
 
@@ -33,48 +33,48 @@
     entries: VecDeque<(Millis, Vec<u8>)>,
 }
 
-/// All streams.
+/// The streams of the log.
 #[derive(Debug)]
 pub struct Log {
     streams: Mutex<BTreeMap<String, Stream>>,
     mode: Mutex<LogMode>,
     began: (Millis, Instant),
-    kept: usize,
-    grown: Notify,
+    retained: usize,
+    appended: Notify,
     appends: Mutex<(u64, u64)>,
 }
 
 impl Log {
-    /// An empty log that keeps `kept` records of each stream.
-    pub fn new(kept: usize) -> Self {
+    /// Creates an empty log that retains `retained` records of each stream.
+    pub fn new(retained: usize) -> Self {
         Self {
             streams: Mutex::default(),
             mode: Mutex::default(),
-            began: (wall(), Instant::now()),
-            kept,
-            grown: Notify::new(),
+            began: (wall_clock(), Instant::now()),
+            retained,
+            appended: Notify::new(),
             appends: Mutex::default(),
         }
     }
 
-    /// Changes what it does to its callers.
+    /// Changes the behaviour.
     pub fn set(&self, mode: LogMode) {
         *self.mode.lock().expect("no holder panics") = mode;
-        self.grown.notify_waiters();
+        self.appended.notify_waiters();
     }
 
-    /// Appends and bytes taken in so far.
+    /// The numbers of appends and of appended bytes so far.
     pub fn appends(&self) -> (u64, u64) {
         *self.appends.lock().expect("no holder panics")
     }
 
-    /// Answers a call.
+    /// Handles a request.
     pub async fn handle(&self, ask: Ask) -> Answer {
         let Some(name) = ask.path.strip_prefix("/streams/") else {
-            return text(404, "the log has streams only");
+            return text(404, "unknown path; only /streams/ exists");
         };
         if self.mode() == LogMode::Away {
-            return text(503, "the log is away");
+            return text(503, "log unavailable");
         }
         if ask.method == hyper::Method::POST {
             return self.append(name, &ask);
@@ -95,7 +95,7 @@
         let mut streams = self.streams.lock().expect("no holder panics");
         let stream = streams.entry(name.into()).or_default();
         stream.entries.push_back((self.now(), ask.body.to_vec()));
-        while stream.entries.len() > self.kept {
+        while stream.entries.len() > self.retained {
             stream.entries.pop_front();
             stream.first += 1;
         }
@@ -105,7 +105,7 @@
         appends.0 += 1;
         appends.1 += ask.body.len() as u64;
         drop(appends);
-        self.grown.notify_waiters();
+        self.appended.notify_waiters();
         if self.mode() == LogMode::Lose {
             return text(500, "the append failed");
         }
@@ -117,16 +117,16 @@
         let (from, wait) = (number("from"), Duration::from_millis(number("wait_ms")));
         let end = Instant::now() + wait;
         loop {
-            let grown = self.grown.notified();
+            let appended = self.appended.notified();
             match self.page(name, from) {
                 Err(first) => return text(410, first.to_string()),
                 Ok(page) if !page.entries.is_empty() => return bytes(&page),
                 Ok(page) if Instant::now() >= end => return bytes(&page),
                 Ok(_) => {}
             }
-            let _ = tokio::time::timeout_at(end, grown).await;
+            let _ = tokio::time::timeout_at(end, appended).await;
             if self.mode() == LogMode::Away {
-                return text(503, "the log is away");
+                return text(503, "log unavailable");
             }
         }
     }
@@ -141,18 +141,18 @@
             return Err(stream.first);
         }
         let skip = (from - stream.first) as usize;
-        let entries = stream.entries.iter().enumerate().skip(skip).take(PAGE);
+        let entries = stream.entries.iter().enumerate().skip(skip).take(PAGE_SIZE);
         let entries = entries.map(|(n, (time, data))| Entry {
             offset: stream.first + n as u64,
             time: *time,
             data: data.clone(),
         });
-        let more = stream.entries.len() > skip + PAGE;
+        let more = stream.entries.len() > skip + PAGE_SIZE;
         Ok(Page { entries: entries.collect(), time, more })
     }
 }
 
-fn wall() -> Millis {
+fn wall_clock() -> Millis {
     SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default().into()
 }
 
--- a/crates/standin/src/main.rs
+++ b/crates/standin/src/main.rs
@@ -1,4 +1,4 @@
-//! `myrtle-standin`: the platform's stand-in as a process of its own. Not shipped.
+//! `myrtle-standin`: the stand-ins for the platform as a separate process. Not shipped.
 
 use std::time::Duration;
 
--- a/crates/standin/src/record.rs
+++ b/crates/standin/src/record.rs
@@ -1,4 +1,4 @@
-//! What the stand-ins saw, from which promises are judged.
+//! The record of runs and requests at the stand-ins, from which tests check promises.
 
 use std::collections::{BTreeMap, HashMap};
 use std::sync::Mutex;
@@ -12,53 +12,53 @@
 /// One attempt of a task on a worker.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Run {
-    /// The worker.
+    /// The name of the worker.
     pub worker: String,
     /// The task's name, with its data centre.
     pub task: String,
-    /// The attempt.
+    /// The number of the attempt.
     pub attempt: u16,
-    /// When it began.
+    /// When it started.
     pub from: Millis,
-    /// When it ended, if it did.
+    /// When it ended; `None` while it runs.
     pub to: Option<Millis>,
-    /// The checkpoint it began at.
+    /// The checkpoint at which it started.
     pub first: u32,
-    /// The checkpoint it ended at.
+    /// The checkpoint at which it ended.
     pub last: u32,
-    /// How it ended.
+    /// The final state; `None` while it runs.
     pub end: Option<RunState>,
-    /// Whether it ended because its lease did, or its worker died.
+    /// Whether it ended because its lease expired or its worker died.
     pub lapsed: bool,
 }
 
 /// The end of an attempt.
 #[derive(Debug, Clone, Copy)]
 pub struct RunEnd {
-    /// When it was.
+    /// When it ended.
     pub at: Millis,
-    /// How it was.
+    /// The final state.
     pub state: RunState,
     /// The last checkpoint.
     pub checkpoint: u32,
-    /// Whether the lease had ended, or the worker died.
+    /// Whether the lease expired or the worker died.
     pub lapsed: bool,
 }
 
-/// What one upstream saw.
+/// The requests and connections at one upstream.
 #[derive(Debug, Default, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct UpstreamSeen {
-    /// The most requests at once.
+    /// The maximum number of concurrent requests.
     pub most_busy: u32,
-    /// The most connections at once.
+    /// The maximum number of concurrent connections.
     pub most_open: u32,
-    /// Requests begun.
+    /// The number of requests begun.
     pub begun: u64,
-    /// The arrival of the newest request.
+    /// When the newest request arrived.
     pub newest: Millis,
 }
 
-/// Everything that was seen.
+/// The record of all stand-ins.
 #[derive(Debug)]
 pub struct Record {
     start: Instant,
@@ -68,32 +68,32 @@
     overcommits: Mutex<Vec<String>>,
 }
 
-/// The record in numbers.
+/// A summary of a record.
 #[derive(Debug, Default, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Summary {
-    /// Attempts that began.
+    /// The number of attempts started.
     pub started: usize,
-    /// Attempts that were stopped.
+    /// The number of attempts stopped.
     pub stopped: usize,
-    /// Later attempts that began at a checkpoint above 0.
+    /// The number of later attempts that started from a checkpoint above 0.
     pub resumed: usize,
-    /// Tasks done.
+    /// The number of attempts that completed.
     pub done: usize,
-    /// Tasks of which two attempts ran at once.
+    /// Tasks of which two attempts ran concurrently.
     pub doubled_tasks: Vec<String>,
-    /// Tasks that were done twice.
+    /// Tasks that completed more than once.
     pub done_twice: Vec<String>,
-    /// Attempts that began before the checkpoint at which a confirmed stop had left the task.
+    /// Tasks with an attempt that did not start from the checkpoint of the confirmed stop before it.
     pub lost_work: Vec<String>,
-    /// Workers that were given more than they have.
+    /// Descriptions of workers whose attempts exceeded their room.
     pub overcommits: Vec<String>,
-    /// Requests that an upstream began, with how often.
+    /// The number of times that upstreams began each request, by its id.
     pub requests: HashMap<String, u32>,
-    /// What each upstream saw.
+    /// The requests and connections by upstream.
     pub upstreams: BTreeMap<String, UpstreamSeen>,
-    /// Appends to the log.
+    /// The number of appends to the log.
     pub appends: u64,
-    /// Bytes appended to the log.
+    /// The number of bytes appended to the log.
     pub append_bytes: u64,
 }
 
@@ -110,17 +110,17 @@
 }
 
 impl Record {
-    /// The time since the record began.
+    /// The time since the record was created.
     pub fn now(&self) -> Millis {
         self.start.elapsed().into()
     }
 
-    /// An attempt begins.
+    /// Records the start of an attempt.
     pub fn begin_run(&self, run: Run) {
         self.runs.lock().expect("no holder panics").push(run);
     }
 
-    /// An attempt ends at `to`.
+    /// Records the end of an attempt.
     pub fn end_run(&self, worker: &str, task: &str, attempt: u16, end: RunEnd) {
         let mut runs = self.runs.lock().expect("no holder panics");
         let mut open = runs.iter_mut().rev();
@@ -133,33 +133,33 @@
         }
     }
 
-    /// A worker was given more than it has.
+    /// Records that the attempts on a worker exceed its room.
     pub fn overcommit(&self, text: String) {
         self.overcommits.lock().expect("no holder panics").push(text);
     }
 
-    /// A request begins at an upstream.
+    /// Records that a request begins at an upstream.
     pub fn begin_request(&self, upstream: &str, id: &str, busy: u32) {
         *self.requests.lock().expect("no holder panics").entry(id.into()).or_default() += 1;
         let now = self.now();
-        self.touch(upstream, |seen| {
+        self.update(upstream, |seen| {
             seen.most_busy = seen.most_busy.max(busy);
             seen.begun += 1;
             seen.newest = now;
         });
     }
 
-    /// A connection to an upstream opens.
+    /// Records that `open` connections to an upstream are open.
     pub fn open(&self, upstream: &str, open: u32) {
-        self.touch(upstream, |seen| seen.most_open = seen.most_open.max(open));
+        self.update(upstream, |seen| seen.most_open = seen.most_open.max(open));
     }
 
-    /// The attempts so far.
+    /// The attempts recorded so far.
     pub fn runs(&self) -> Vec<Run> {
         self.runs.lock().expect("no holder panics").clone()
     }
 
-    /// The record in numbers.
+    /// Summarizes the record.
     pub fn summary(&self) -> Summary {
         let runs = self.runs();
         let mut by_task: BTreeMap<&str, Vec<&Run>> = BTreeMap::new();
@@ -177,19 +177,19 @@
             ..Summary::default()
         };
         for (task, runs) in by_task {
-            judge(task, &runs, &mut summary);
+            check_task(task, &runs, &mut summary);
         }
         summary
     }
 
-    fn touch(&self, upstream: &str, change: impl FnOnce(&mut UpstreamSeen)) {
+    fn update(&self, upstream: &str, change: impl FnOnce(&mut UpstreamSeen)) {
         let mut upstreams = self.upstreams.lock().expect("no holder panics");
         change(upstreams.entry(upstream.into()).or_default());
     }
 }
 
-/// Looks for overlaps, double ends and lost work among one task's attempts.
-fn judge(task: &str, runs: &[&Run], summary: &mut Summary) {
+/// Checks the attempts of one task for overlaps, repeated completion and lost work.
+fn check_task(task: &str, runs: &[&Run], summary: &mut Summary) {
     let mut runs = runs.to_vec();
     runs.sort_by_key(|r| r.from);
     let end = |r: &Run| r.to.unwrap_or(Millis(u64::MAX));
--- a/crates/standin/src/runner/book.rs
+++ b/crates/standin/src/runner/book.rs
@@ -1,34 +1,34 @@
-//! What runners saw, for the judge.
+//! The record of runs on the stand-in workers, for checks by tests.
 
 use std::sync::Mutex;
 use std::time::Instant;
 
-/// A run that a runner saw.
+/// A recorded run.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Seen {
-    /// The task.
+    /// The name of the task.
     pub task: String,
-    /// The run.
+    /// The number of the run.
     pub run: u32,
-    /// The worker.
+    /// The name of the worker.
     pub worker: String,
-    /// When it began.
+    /// When it started.
     pub from: Instant,
-    /// When it was over, and how.
+    /// When it ended and how; `None` while it runs.
     pub over: Option<(Instant, &'static str)>,
 }
 
-/// All that runners saw.
+/// The recorded runs of all runners.
 #[derive(Debug, Default)]
 pub struct Book(Mutex<Vec<Seen>>);
 
 impl Book {
-    /// Every run.
+    /// All recorded runs.
     pub fn runs(&self) -> Vec<Seen> {
         self.0.lock().expect("no holder panics").clone()
     }
 
-    /// Pairs of runs of one task that went on at the same time.
+    /// Pairs of runs of the same task that overlapped in time.
     pub fn doubled(&self) -> Vec<(Seen, Seen)> {
         let runs = self.runs();
         let end = |s: &Seen| s.over.map_or_else(Instant::now, |(at, _)| at);
@@ -42,16 +42,16 @@
 }
 
 impl Book {
-    /// Notes that a run has begun.
+    /// Records the start of a run.
     pub(super) fn open(&self, seen: Seen) {
         self.0.lock().expect("no holder panics").push(seen);
     }
 
-    /// Notes how a run was over.
+    /// Records the end of a run.
     pub(super) fn close(&self, worker: &str, task: &str, run: u32, how: &'static str) {
         let mut seen = self.0.lock().expect("no holder panics");
-        let mine = |s: &&mut Seen| s.task == task && s.run == run && s.worker == worker;
-        if let Some(seen) = seen.iter_mut().find(mine) {
+        let same = |s: &&mut Seen| s.task == task && s.run == run && s.worker == worker;
+        if let Some(seen) = seen.iter_mut().find(same) {
             seen.over = Some((Instant::now(), how));
         }
     }
--- a/crates/standin/src/runner/calls.rs
+++ b/crates/standin/src/runner/calls.rs
@@ -1,4 +1,4 @@
-//! The calls that a runner answers, as the platform's workers do.
+//! The calls of the platform's worker API that a runner handles.
 
 use std::sync::atomic::Ordering;
 use std::time::Duration;
@@ -9,10 +9,10 @@
 
 use myrtle_platform::{Answer, Ask, answer, json, text};
 
-use super::{HOLD, Run, Runner};
+use super::{MAX_LEASE_MS, Run, Runner};
 
 #[derive(Deserialize)]
-struct Start {
+struct StartRequest {
     task: String,
     run: u32,
     until_ms: u64,
@@ -21,7 +21,7 @@
 }
 
 #[derive(Deserialize)]
-struct Stop {
+struct StopRequest {
     task: String,
     run: u32,
     #[serde(default)]
@@ -29,7 +29,7 @@
 }
 
 #[derive(Deserialize)]
-struct Hold {
+struct RenewalRequest {
     #[serde(default)]
     fence: u64,
     #[serde(default)]
@@ -40,45 +40,49 @@
 }
 
 impl Runner {
-    /// Answers a call.
+    /// Handles a request.
     pub(super) async fn handle(&self, ask: Ask) -> Answer {
         self.calls.fetch_add(1, Ordering::Relaxed);
         if self.mute.load(Ordering::Relaxed) {
             std::future::pending::<()>().await;
         }
-        let life = self.life();
-        if ask.headers.get("expect-instance").is_some_and(|h| h.as_bytes() != life.as_bytes()) {
-            return text(421, "another life");
+        let incarnation = self.life();
+        if ask
+            .headers
+            .get("expect-instance")
+            .is_some_and(|h| h.as_bytes() != incarnation.as_bytes())
+        {
+            return text(421, "another incarnation");
         }
         match ask.path.as_str() {
             "/api/run-start" => self.run_start(&ask),
             "/api/run-stop" => self.run_stop(&ask),
             "/api/pace" => json(&json!({ "clock_ms": self.clock() })),
-            "/api/hold" => self.hold(&ask).await,
-            _ => text(404, "no such call"),
+            "/api/hold" => self.renew(&ask).await,
+            _ => text(404, "unknown path"),
         }
     }
 
     fn run_start(&self, ask: &Ask) -> Answer {
-        let Ok(start) = serde_json::from_slice::<Start>(&ask.body) else {
-            return text(400, "no start");
+        let Ok(start) = serde_json::from_slice::<StartRequest>(&ask.body) else {
+            return text(400, "malformed start");
         };
         let mut state = self.state.lock().expect("no holder panics");
         if start.fence < state.fence {
             return self.refuse("fence");
         }
         state.fence = start.fence;
-        self.look(0, state.count, start.until_ms);
+        self.check_stray(0, state.end_count, start.until_ms);
         if start.until_ms <= self.clock() {
             return self.refuse("late");
         }
-        state.until = state.until.max(start.until_ms.min(self.clock() + HOLD));
-        let there = state.runs.get(&start.task).map(|r| r.number);
-        if there == Some(start.run) {
+        state.until = state.until.max(start.until_ms.min(self.clock() + MAX_LEASE_MS));
+        let current = state.runs.get(&start.task).map(|r| r.number);
+        if current == Some(start.run) {
             return self.done();
         }
-        let barred = state.barred.get(&start.task).copied().unwrap_or_default();
-        if there.is_some() || start.run <= barred {
+        let closed = state.closed.get(&start.task).copied().unwrap_or_default();
+        if current.is_some() || start.run <= closed {
             return self.refuse("old");
         }
         self.begin(&mut state, start.task, start.run);
@@ -86,8 +90,8 @@
     }
 
     fn run_stop(&self, ask: &Ask) -> Answer {
-        let Ok(stop) = serde_json::from_slice::<Stop>(&ask.body) else {
-            return text(400, "no stop");
+        let Ok(stop) = serde_json::from_slice::<StopRequest>(&ask.body) else {
+            return text(400, "malformed stop");
         };
         let mut state = self.state.lock().expect("no holder panics");
         if stop.fence < state.fence {
@@ -97,30 +101,34 @@
         if state.runs.get(&stop.task).is_some_and(|r| r.number == stop.run) {
             self.end(&mut state, &stop.task, "stopped");
         }
-        let barred = state.barred.entry(stop.task).or_default();
-        *barred = (*barred).max(stop.run);
+        let closed = state.closed.entry(stop.task).or_default();
+        *closed = (*closed).max(stop.run);
         self.done()
     }
 
-    async fn hold(&self, ask: &Ask) -> Answer {
-        let Ok(hold) = serde_json::from_slice::<Hold>(&ask.body) else {
-            return text(400, "no hold");
+    async fn renew(&self, ask: &Ask) -> Answer {
+        let Ok(renewal) = serde_json::from_slice::<RenewalRequest>(&ask.body) else {
+            return text(400, "malformed lease renewal");
         };
         let ended = self.ended.notified();
-        let waits = {
+        let idle = {
             let mut state = self.state.lock().expect("no holder panics");
-            if hold.fence < state.fence {
+            if renewal.fence < state.fence {
                 return self.refuse("fence");
             }
-            state.fence = hold.fence;
-            self.look(hold.last_seen, state.count, hold.until_ms.unwrap_or_default());
-            let until = hold.until_ms.unwrap_or_default().min(self.clock() + HOLD);
+            state.fence = renewal.fence;
+            self.check_stray(
+                renewal.last_seen,
+                state.end_count,
+                renewal.until_ms.unwrap_or_default(),
+            );
+            let until = renewal.until_ms.unwrap_or_default().min(self.clock() + MAX_LEASE_MS);
             state.until = state.until.max(until);
-            state.ends.retain(|(number, ..)| *number > hold.last_seen);
+            state.ends.retain(|(number, ..)| *number > renewal.last_seen);
             state.ends.is_empty()
         };
-        if waits {
-            let _ = timeout(Duration::from_millis(hold.wait_ms), ended).await;
+        if idle {
+            let _ = timeout(Duration::from_millis(renewal.wait_ms), ended).await;
         }
         if self.mute.load(Ordering::Relaxed) {
             std::future::pending::<()>().await;
--- a/crates/standin/src/runner/mod.rs
+++ b/crates/standin/src/runner/mod.rs
@@ -1,4 +1,4 @@
-//! A worker that runs tasks of jobs as the platform's workers do: fences, leases, ends.
+//! The stand-in for a platform worker, which runs tasks under fencing tokens and leases and reports their ends.
 
 mod book;
 mod calls;
@@ -20,13 +20,13 @@
 pub use book::{Book, Seen};
 
 /// The longest lease, in milliseconds.
-const HOLD: u64 = 10_000;
+const MAX_LEASE_MS: u64 = 10_000;
 
-/// How long a task works before it crashes its worker.
-const CRASHES_AFTER: Duration = Duration::from_millis(10);
+/// How long a task runs before it crashes its worker.
+const CRASH_DELAY: Duration = Duration::from_millis(10);
 
-/// How long a crashed worker is away.
-const AWAY: Duration = Duration::from_millis(1_500);
+/// How long a crashed worker stays down.
+const CRASH_DOWNTIME: Duration = Duration::from_millis(1_500);
 
 #[derive(Debug)]
 struct Run {
@@ -40,35 +40,36 @@
     until: u64,
     runs: BTreeMap<String, Run>,
     ends: Vec<(u64, String, u32, &'static str)>,
-    barred: BTreeMap<String, u32>,
-    count: u64,
+    /// The newest run of each task that ended or was stopped; starts up to it are refused.
+    closed: BTreeMap<String, u32>,
+    end_count: u64,
 }
 
-/// A running worker.
+/// The stand-in for a platform worker.
 #[derive(Debug)]
 pub struct Runner {
-    /// Its name, which is the name of this life.
+    /// The name of the worker and of its first incarnation.
     pub name: String,
-    /// Where it takes orders.
+    /// The address on which it receives orders.
     pub at: SocketAddr,
-    /// How long it works on each task.
+    /// The run time of each task.
     work: Duration,
     process: Mutex<Process>,
-    /// Whether its process is down: nobody is served, and open connections break.
+    /// Whether its process is down: no connection is served, and open ones break.
     down: watch::Sender<bool>,
-    /// Held by who restarts it.
-    turn: tokio::sync::Mutex<()>,
+    /// Held during a restart, so that restarts don't overlap.
+    restart_lock: tokio::sync::Mutex<()>,
     state: Mutex<State>,
     ended: Notify,
     mute: AtomicBool,
-    /// How often it has crashed; each time it comes back as another life.
+    /// The number of crashes; after each it returns as a new incarnation.
     crashes: AtomicU32,
-    /// How many calls have reached it.
+    /// The number of calls received.
     calls: AtomicU32,
-    /// How many calls were meant for a process before this one, by the numbers and the lease that they carried.
+    /// The number of calls that were meant for an earlier process, judged by their end numbers and leases.
     strayed: AtomicU32,
-    /// A task that crashes it soon after the start.
-    culprit: Mutex<Option<String>>,
+    /// The task that crashes the worker soon after its start.
+    crash_task: Mutex<Option<String>>,
     book: Arc<Book>,
 }
 
@@ -82,28 +83,28 @@
             work,
             process: Mutex::new(Process::start()),
             down: watch::Sender::new(false),
-            turn: tokio::sync::Mutex::default(),
+            restart_lock: tokio::sync::Mutex::default(),
             state: Mutex::default(),
             ended: Notify::new(),
             mute: AtomicBool::new(false),
             crashes: AtomicU32::new(0),
             calls: AtomicU32::new(0),
             strayed: AtomicU32::new(0),
-            culprit: Mutex::default(),
+            crash_task: Mutex::default(),
             book,
         });
         tokio::spawn(process::listen(runner.clone(), listener));
-        let me = runner.clone();
-        tokio::spawn(async move { me.tick().await });
+        let this = runner.clone();
+        tokio::spawn(async move { this.tick().await });
         Ok(runner)
     }
 
-    /// Crashes soon after each start of a task from now on.
+    /// Makes the worker crash soon after each start of a task.
     pub fn crash_by(&self, task: &str) {
-        *self.culprit.lock().expect("no holder panics") = Some(task.into());
+        *self.crash_task.lock().expect("no holder panics") = Some(task.into());
     }
 
-    /// How many calls have reached it.
+    /// The number of calls received.
     pub fn calls(&self) -> u32 {
         self.calls.load(Ordering::Relaxed)
     }
@@ -113,7 +114,7 @@
         self.state.lock().expect("no holder panics").fence
     }
 
-    /// The name of its life now.
+    /// The name of its current incarnation.
     pub fn life(&self) -> String {
         match self.crashes.load(Ordering::Relaxed) {
             0 => self.name.clone(),
@@ -121,24 +122,24 @@
         }
     }
 
-    /// Answers nobody from now on, or answers again.
+    /// Stops answering calls, or resumes.
     pub fn mute(&self, mute: bool) {
         self.mute.store(mute, Ordering::Relaxed);
     }
 
-    /// Begins the first run of a task, as an order does that was long under way.
+    /// Starts the first run of a task, as an order that arrives late does.
     pub fn carry_out_late(&self, task: &str) {
         let mut state = self.state.lock().expect("no holder panics");
-        state.until = state.until.max(self.clock() + HOLD);
+        state.until = state.until.max(self.clock() + MAX_LEASE_MS);
         self.begin(&mut state, task.into(), 1);
     }
 
-    /// What it writes of itself.
+    /// Its listing in the store.
     pub fn listing(&self) -> String {
         self.listing_as("d", "ready")
     }
 
-    /// What it writes of itself in a data centre and a state, `ready` or `draining`.
+    /// Its listing in a data centre with a state, `ready` or `draining`.
     pub fn listing_as(&self, data_centre: &str, state: &str) -> String {
         json!({
             "service": "s", "address": self.at.to_string(), "zone": data_centre, "version": "v1",
@@ -168,25 +169,25 @@
         }
     }
 
-    /// Whether the task that crashes it has worked for a moment.
+    /// Whether the task that crashes it has run for [`CRASH_DELAY`].
     fn is_crashing(&self) -> bool {
-        let culprit = self.culprit.lock().expect("no holder panics");
+        let crash_task = self.crash_task.lock().expect("no holder panics");
         let state = self.state.lock().expect("no holder panics");
-        let run = culprit.as_ref().and_then(|task| state.runs.get(task));
-        run.is_some_and(|run| run.from.elapsed() >= CRASHES_AFTER)
+        let run = crash_task.as_ref().and_then(|task| state.runs.get(task));
+        run.is_some_and(|run| run.from.elapsed() >= CRASH_DELAY)
     }
 
-    /// Loses all that it knows, answers nobody for a while and comes back as another life.
+    /// Loses its state, doesn't answer for [`CRASH_DOWNTIME`] and returns as a new incarnation.
     async fn crash(&self) {
         self.mute(true);
-        self.lose();
-        sleep(AWAY).await;
+        self.drop_state();
+        sleep(CRASH_DOWNTIME).await;
         self.crashes.fetch_add(1, Ordering::Relaxed);
         self.mute(false);
     }
 
-    /// Forgets all that it knows; what runs is lost.
-    fn lose(&self) {
+    /// Drops its state; its runs are lost.
+    fn drop_state(&self) {
         let lost = std::mem::take(&mut *self.state.lock().expect("no holder panics")).runs;
         for (task, run) in lost {
             self.book.close(&self.name, &task, run.number, "lost");
@@ -203,10 +204,10 @@
         let Some(run) = state.runs.remove(task) else {
             return;
         };
-        state.count += 1;
-        state.ends.push((state.count, task.into(), run.number, how));
-        let barred = state.barred.entry(task.into()).or_default();
-        *barred = (*barred).max(run.number);
+        state.end_count += 1;
+        state.ends.push((state.end_count, task.into(), run.number, how));
+        let closed = state.closed.entry(task.into()).or_default();
+        *closed = (*closed).max(run.number);
         self.book.close(&self.name, task, run.number, how);
         self.ended.notify_waiters();
     }
--- a/crates/standin/src/runner/process.rs
+++ b/crates/standin/src/runner/process.rs
@@ -1,4 +1,4 @@
-//! The process of a runner: it may end and start again under the same id, with nothing known of before.
+//! The process of a runner, which can end and restart under the same id without its earlier state.
 
 use std::sync::Arc;
 use std::sync::atomic::Ordering;
@@ -10,12 +10,12 @@
 
 use myrtle_platform::serve_one;
 
-use super::{HOLD, Runner};
+use super::{MAX_LEASE_MS, Runner};
 
-/// How far a caller's idea of its clock may be ahead, in milliseconds.
-const SLACK: u64 = 100;
+/// How far a caller's estimate of its clock may be ahead, in milliseconds.
+const CLOCK_TOLERANCE: u64 = 100;
 
-/// One process.
+/// A process of a runner.
 #[derive(Debug, Clone, Copy)]
 pub(super) struct Process {
     began: Instant,
@@ -24,7 +24,7 @@
 }
 
 impl Process {
-    /// One that starts now.
+    /// Creates a process that starts now.
     pub(super) fn start() -> Self {
         let born = SystemTime::UNIX_EPOCH.elapsed().unwrap_or_default().as_millis() as u64;
         Self { began: Instant::now(), born }
@@ -32,12 +32,12 @@
 }
 
 impl Runner {
-    /// Its process ends and starts again under its id after a while: connections break, runs are lost, clock and
-    /// numbers begin anew. One that is down already goes down once more when it is back.
+    /// Ends its process and restarts it under the same id after `away`: connections break, runs are lost, and clock
+    /// and end numbers are reset. If a restart is under way, this one follows it.
     pub async fn restart(&self, away: Duration) {
-        let _turn = self.turn.lock().await;
+        let _lock = self.restart_lock.lock().await;
         self.down.send_replace(true);
-        self.lose();
+        self.drop_state();
         sleep(away).await;
         *self.process.lock().expect("no holder panics") = Process::start();
         self.down.send_replace(false);
@@ -48,26 +48,27 @@
         self.process.lock().expect("no holder panics").born
     }
 
-    /// How many calls were meant for a process before this one, by the numbers and the leases that they carried.
+    /// The number of calls that were meant for an earlier process, judged by their end numbers and leases.
     pub fn strayed(&self) -> u32 {
         self.strayed.load(Ordering::Relaxed)
     }
 
-    /// Counts a call that names an end which this process never told, or a lease longer than any may be.
-    pub(super) fn look(&self, seen: u64, told: u64, until: u64) {
-        if seen > told || until > self.clock() + HOLD + SLACK {
+    /// Counts a call as stray if it acknowledges an end that this process never reported or asks for a lease above the
+    /// maximum.
+    pub(super) fn check_stray(&self, seen: u64, reported: u64, until: u64) {
+        if seen > reported || until > self.clock() + MAX_LEASE_MS + CLOCK_TOLERANCE {
             self.strayed.fetch_add(1, Ordering::Relaxed);
         }
     }
 
-    /// Its clock, in milliseconds.
+    /// The worker's clock, in milliseconds.
     pub(super) fn clock(&self) -> u64 {
         let process = *self.process.lock().expect("no holder panics");
         process.began.elapsed().as_millis() as u64 + 1
     }
 }
 
-/// Serves connections; those that are open when the process ends break.
+/// Serves connections, and breaks the open ones when the process ends.
 pub(super) async fn listen(runner: Arc<Runner>, listener: TcpListener) {
     let mut down = runner.down.subscribe();
     let mut open = JoinSet::new();
@@ -75,11 +76,11 @@
         tokio::select! {
             accepted = listener.accept() => {
                 let Ok((stream, _)) = accepted else { continue };
-                let me = runner.clone();
+                let this = runner.clone();
                 if !*down.borrow() {
                     open.spawn(serve_one(stream, move |ask| {
-                        let me = me.clone();
-                        async move { me.handle(ask).await }
+                        let this = this.clone();
+                        async move { this.handle(ask).await }
                     }));
                 }
             }
--- a/crates/standin/src/site.rs
+++ b/crates/standin/src/site.rs
@@ -1,4 +1,4 @@
-//! What tests need to start processes of the project beside the stand-ins.
+//! Helpers for tests that start processes of the project beside the stand-ins.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -11,11 +11,11 @@
 
 use crate::World;
 
-/// How long anything may take to come true; tests judge what, not when.
-const PATIENCE: Duration = Duration::from_secs(60);
+/// The timeout of [`until`]; generous, as tests check whether a condition holds, not how soon.
+const TIMEOUT: Duration = Duration::from_secs(60);
 
 impl World {
-    /// Settings of a host that announces itself on ports of the system's choice.
+    /// The settings of a host that announces itself on ports chosen by the system.
     pub fn settings(&self, name: &str, centre: &str) -> Settings {
         let any = SocketAddr::from(([127, 0, 0, 1], 0));
         Settings {
@@ -30,29 +30,29 @@
         }
     }
 
-    /// Puts a desired state into the log, as made from the scope's version `base`.
+    /// Appends a desired state to the log, as derived from the scope's version `base`.
     pub async fn apply(&self, text: &str, base: u64) {
         let desired: Desired = read("test", text).expect("the text is a desired state");
         let change = Change { id: Uuid::now_v7(), base, by: "test".into(), desired };
         let bytes = ConfigRecord::Change(change).encode();
-        self.log_client().append("config", bytes).await.expect("the log takes it in");
+        self.log_client().append("config", bytes).await.expect("the log accepts appends");
     }
 
-    /// A client of the log.
+    /// Creates a client of the log.
     pub fn log_client(&self) -> LogClient {
         LogClient::new(Caller::default(), self.log_at)
     }
 }
 
-/// Waits until something is so.
+/// Waits until a condition holds; `what` describes it in the panic message.
 ///
 /// # Panics
 ///
-/// If it is not so within a minute.
-pub async fn until(what: &str, so: impl Fn() -> bool) {
-    let end = tokio::time::Instant::now() + PATIENCE;
-    while !so() {
-        assert!(tokio::time::Instant::now() < end, "not within {PATIENCE:?}: {what}");
+/// If the condition does not hold within a minute.
+pub async fn until(what: &str, holds: impl Fn() -> bool) {
+    let deadline = tokio::time::Instant::now() + TIMEOUT;
+    while !holds() {
+        assert!(tokio::time::Instant::now() < deadline, "not within {TIMEOUT:?}: {what}");
         tokio::time::sleep(Duration::from_millis(20)).await;
     }
 }
--- a/crates/standin/src/store/group.rs
+++ b/crates/standin/src/store/group.rs
@@ -1,19 +1,19 @@
-//! A group: its members share out the partitions of a topic.
+//! A group, whose members divide the partitions of a topic among themselves.
 //!
-//! A partition that is dealt to another member passes on only once its holder has joined with the generation of that,
-//! has left or has lapsed. Until then it is nobody's, also where it was dealt back meanwhile.
+//! A reassigned partition is released only once its previous member has joined with the new generation, has left or
+//! has expired. Until then no member gets it, even if it was assigned back in the meantime.
 
 use std::collections::BTreeMap;
 use std::time::{Duration, Instant};
 
-/// Members and what they hold.
+/// The members of a group and their partitions.
 #[derive(Debug, Default)]
 pub struct Group {
     generation: u64,
     members: BTreeMap<String, Member>,
-    held: BTreeMap<u32, String>,
-    /// Partitions that were dealt away from a member which has not heard of it, and when.
-    passing: BTreeMap<u32, (String, u64)>,
+    assigned: BTreeMap<u32, String>,
+    /// Reassigned partitions not yet released, with the previous member and the generation of the reassignment.
+    unreleased: BTreeMap<u32, (String, u64)>,
 }
 
 #[derive(Debug)]
@@ -22,76 +22,77 @@
 }
 
 impl Group {
-    /// A member joins or stays; it has heard of the group up to `generation`.
-    pub fn join(&mut self, name: &str, ttl: Duration, parts: u32, generation: u64) {
-        self.lapse(parts);
-        self.passing.retain(|_, (holder, since)| holder != name || generation < *since);
+    /// Adds a member or renews its membership; it has seen the group up to `generation`.
+    pub fn join(&mut self, name: &str, ttl: Duration, partitions: u32, generation: u64) {
+        self.expire(partitions);
+        self.unreleased.retain(|_, (previous, since)| previous != name || generation < *since);
         let until = Instant::now() + ttl;
-        let fresh = !self.members.contains_key(name);
+        let new = !self.members.contains_key(name);
         self.members.insert(name.into(), Member { until });
-        if fresh {
-            self.deal(parts);
+        if new {
+            self.reassign(partitions);
         }
     }
 
-    /// A member leaves.
-    pub fn leave(&mut self, name: &str, parts: u32) {
+    /// Removes a member.
+    pub fn leave(&mut self, name: &str, partitions: u32) {
         if self.members.remove(name).is_some() {
-            self.deal(parts);
+            self.reassign(partitions);
         }
     }
 
-    /// Members that were silent for too long are given up.
-    pub fn lapse(&mut self, parts: u32) {
+    /// Removes members whose time to live has passed.
+    pub fn expire(&mut self, partitions: u32) {
         let before = self.members.len();
         let now = Instant::now();
         self.members.retain(|_, m| m.until > now);
         if self.members.len() < before {
-            self.deal(parts);
+            self.reassign(partitions);
         }
     }
 
-    /// Forgets every member, as if all had lapsed at once.
-    pub fn forget(&mut self) {
+    /// Removes all members, as if all had expired at once.
+    pub fn clear(&mut self) {
         self.members.clear();
-        self.held.clear();
-        self.passing.clear();
+        self.assigned.clear();
+        self.unreleased.clear();
         self.generation += 1;
     }
 
-    /// The generation.
+    /// The version of the group, which rises with each reassignment.
     pub fn generation(&self) -> u64 {
         self.generation
     }
 
-    /// The partitions of a member.
-    pub fn held(&self, name: &str) -> Vec<u32> {
-        let dealt = self.held.iter().filter(|(_, m)| *m == name).map(|(&part, _)| part);
-        dealt.filter(|part| !self.passing.contains_key(part)).collect()
+    /// The partitions that a member may use.
+    pub fn partitions(&self, name: &str) -> Vec<u32> {
+        let assigned =
+            self.assigned.iter().filter(|(_, m)| *m == name).map(|(&partition, _)| partition);
+        assigned.filter(|partition| !self.unreleased.contains_key(partition)).collect()
     }
 
-    /// Partitions with their members.
+    /// The partitions with their members; unreleased ones with the previous member.
     pub fn rows(&self) -> impl Iterator<Item = (u32, &str)> {
-        self.held.iter().map(|(part, dealt)| {
-            let holder = self.passing.get(part).map(|(holder, _)| holder);
-            (*part, holder.unwrap_or(dealt).as_str())
+        self.assigned.iter().map(|(partition, assigned)| {
+            let previous = self.unreleased.get(partition).map(|(previous, _)| previous);
+            (*partition, previous.unwrap_or(assigned).as_str())
         })
     }
 
-    /// Deals the partitions out evenly; the latest member takes from the others.
-    fn deal(&mut self, parts: u32) {
+    /// Reassigns the partitions evenly in the order of the members' names.
+    fn reassign(&mut self, partitions: u32) {
         self.generation += 1;
         let names: Vec<&String> = self.members.keys().collect();
-        let dealt = (0..parts).filter_map(|part| {
-            Some((part, (*names.get(part as usize % names.len().max(1))?).clone()))
+        let assigned = (0..partitions).filter_map(|partition| {
+            Some((partition, (*names.get(partition as usize % names.len().max(1))?).clone()))
         });
-        let dealt: BTreeMap<u32, String> = dealt.collect();
-        for (part, before) in &self.held {
-            if dealt.get(part).is_some_and(|now| now != before) {
-                self.passing.entry(*part).or_insert((before.clone(), self.generation));
+        let assigned: BTreeMap<u32, String> = assigned.collect();
+        for (partition, before) in &self.assigned {
+            if assigned.get(partition).is_some_and(|now| now != before) {
+                self.unreleased.entry(*partition).or_insert((before.clone(), self.generation));
             }
         }
-        self.passing.retain(|_, (holder, _)| self.members.contains_key(holder));
-        self.held = dealt;
+        self.unreleased.retain(|_, (previous, _)| self.members.contains_key(previous));
+        self.assigned = assigned;
     }
 }
--- a/crates/standin/src/store/mod.rs
+++ b/crates/standin/src/store/mod.rs
@@ -1,4 +1,4 @@
-//! The platform's metadata store: topics of partitions, the newest record of each key, groups.
+//! The stand-in for the platform's metadata store, with partitioned topics, the newest records by key and groups.
 
 mod group;
 mod topic;
@@ -19,44 +19,44 @@
 use myrtle_platform::{Answer, Ask, answer, json, text};
 
 use group::Group;
-use topic::{Part, Refusal, Writer};
+use topic::{Partition, Refusal, Writer};
 
-/// Partitions of each topic, as on the users' platform.
-const PARTS: u32 = 24;
+/// The number of partitions of a topic, as on the users' platform.
+const PARTITIONS: u32 = 24;
 
-/// The longest wait of a read.
-const LONGEST: Duration = Duration::from_secs(30);
+/// The maximum wait of a read.
+const MAX_WAIT: Duration = Duration::from_secs(30);
 
-/// What the store does to its callers.
+/// The behaviour of the store.
 #[derive(Debug, Default, Clone, Copy, PartialEq, Eq)]
 pub enum StoreMode {
-    /// It works.
+    /// It works normally.
     #[default]
     Ok,
-    /// It refuses everything and does nothing.
+    /// It refuses all calls without executing them.
     Away,
-    /// It says nothing to anybody and does nothing.
+    /// It neither executes calls nor replies.
     Silent,
-    /// It does what it is asked and never answers appends.
+    /// It executes calls but never replies to appends.
     Lose,
-    /// It takes appends in turn, each in so long.
+    /// It executes appends one at a time, each taking this long.
     Slow(Duration),
 }
 
-/// The store.
+/// The stand-in for the metadata store.
 #[derive(Debug, Default)]
 pub struct Store {
-    parts: Mutex<HashMap<(String, u32), Part>>,
+    partitions: Mutex<HashMap<(String, u32), Partition>>,
     groups: Mutex<BTreeMap<String, Group>>,
     mode: Mutex<StoreMode>,
-    grown: Notify,
-    /// Whose append is taken while the store is slow.
-    turn: tokio::sync::Mutex<()>,
+    appended: Notify,
+    /// Serializes appends while the store is slow.
+    append_lock: tokio::sync::Mutex<()>,
     calls: Mutex<BTreeMap<String, u64>>,
-    /// Topics whose readers wait, and for how long.
+    /// The delay of reads by topic.
     delays: Mutex<BTreeMap<String, Duration>>,
-    /// Topics whose writers up to an epoch are turned away.
-    shut: Mutex<BTreeMap<String, u64>>,
+    /// The highest epoch whose writers are rejected, by topic.
+    rejected: Mutex<BTreeMap<String, u64>>,
 }
 
 #[derive(Deserialize)]
@@ -76,49 +76,49 @@
 }
 
 impl Store {
-    /// Changes what it does to its callers.
+    /// Changes the behaviour.
     pub fn set(&self, mode: StoreMode) {
         *self.mode.lock().expect("no holder panics") = mode;
     }
 
-    /// Lets every reader of a topic wait for so long before it is answered.
+    /// Delays all reads of a topic by `wait`.
     pub fn delay(&self, topic: &str, wait: Duration) {
         self.delays.lock().expect("no holder panics").insert(topic.into(), wait);
     }
 
-    /// Turns away the writers of a topic whose epoch is up to this one, and serves later ones.
+    /// Rejects the writers of a topic up to `epoch` and serves later ones.
     pub fn shut(&self, topic: &str, epoch: u64) {
-        self.shut.lock().expect("no holder panics").insert(topic.into(), epoch);
+        self.rejected.lock().expect("no holder panics").insert(topic.into(), epoch);
     }
 
-    /// How often each call was made.
+    /// The number of calls by path.
     pub fn calls(&self) -> BTreeMap<String, u64> {
         self.calls.lock().expect("no holder panics").clone()
     }
 
-    /// Writes a record of a topic with keys, as the operator and the workers do.
+    /// Writes a record of a keyed topic, as the operator and the workers do.
     pub fn put(&self, topic: &str, key: &str, value: &[u8]) {
         let record = keyed(key, value);
-        self.part(topic, 0, |part| part.records.push(record));
-        self.grown.notify_waiters();
+        self.partition(topic, 0, |partition| partition.records.push(record));
+        self.appended.notify_waiters();
     }
 
-    /// Writes a record and drops the topic's history with it: readers learn of it only from the newest
+    /// Writes a record and deletes the topic's history including it, so that readers find it only among the newest
     /// records.
     pub fn put_unread(&self, topic: &str, key: &str, value: &[u8]) {
         let record = keyed(key, value);
-        self.part(topic, 0, |part| {
-            part.records.push(record);
-            part.first = part.records.len();
+        self.partition(topic, 0, |partition| {
+            partition.records.push(record);
+            partition.first = partition.records.len();
         });
-        self.grown.notify_waiters();
+        self.appended.notify_waiters();
     }
 
-    /// The keys of a topic's first partition that have a value now.
+    /// The keys in a topic's first partition that have a value.
     pub fn keys(&self, topic: &str) -> BTreeSet<String> {
         let mut keys = BTreeSet::new();
-        self.part(topic, 0, |part| {
-            for record in &part.records {
+        self.partition(topic, 0, |partition| {
+            for record in &partition.records {
                 let (key, value) = record[1..].split_at(usize::from(record[0]));
                 let key = String::from_utf8_lossy(key).into_owned();
                 match value.is_empty() {
@@ -134,49 +134,49 @@
     pub fn owners(&self, group: &str) -> Vec<(u32, String)> {
         let mut groups = self.groups.lock().expect("no holder panics");
         let group = groups.entry(group.into()).or_default();
-        group.lapse(PARTS);
-        group.rows().map(|(part, member)| (part, member.to_string())).collect()
+        group.expire(PARTITIONS);
+        group.rows().map(|(partition, member)| (partition, member.to_string())).collect()
     }
 
-    /// A member joins a group and leaves it again at once, as one does that came too late; true if that dealt a
-    /// partition away from its holder.
-    pub fn visit(&self, group: &str, member: &str, part: u32) -> bool {
+    /// Lets a member join a group and leave at once, as one that arrives late does; returns whether that took
+    /// `partition` from its previous member.
+    pub fn visit(&self, group: &str, member: &str, partition: u32) -> bool {
         let mut groups = self.groups.lock().expect("no holder panics");
         let group = groups.entry(group.into()).or_default();
-        let holder = group.rows().find(|(p, _)| *p == part).map(|(_, m)| m.to_string());
-        group.join(member, Duration::from_secs(1), PARTS, 0);
-        group.leave(member, PARTS);
-        holder.is_some_and(|holder| !group.held(&holder).contains(&part))
+        let previous = group.rows().find(|(p, _)| *p == partition).map(|(_, m)| m.to_string());
+        group.join(member, Duration::from_secs(1), PARTITIONS, 0);
+        group.leave(member, PARTITIONS);
+        previous.is_some_and(|previous| !group.partitions(&previous).contains(&partition))
     }
 
-    /// The member that a partition of a group is told to when it joins.
-    pub fn holds(&self, group: &str, part: u32) -> Option<String> {
+    /// The member that receives a partition of a group when it joins.
+    pub fn holds(&self, group: &str, partition: u32) -> Option<String> {
         let mut groups = self.groups.lock().expect("no holder panics");
         let group = groups.entry(group.into()).or_default();
-        let member = group.rows().find(|(p, _)| *p == part).map(|(_, m)| m.to_string())?;
-        group.held(&member).contains(&part).then_some(member)
+        let member = group.rows().find(|(p, _)| *p == partition).map(|(_, m)| m.to_string())?;
+        group.partitions(&member).contains(&partition).then_some(member)
     }
 
-    /// Takes a partition from its holder without a word, as a rebalance does.
+    /// Removes all members of a group without notice, as a rebalance does.
     pub fn rebalance(&self, group: &str) {
         if let Some(group) = self.groups.lock().expect("no holder panics").get_mut(group) {
-            group.forget();
+            group.clear();
         }
     }
 
-    /// Answers a call.
+    /// Handles a request.
     pub async fn handle(&self, ask: Ask) -> Answer {
         *self.calls.lock().expect("no holder panics").entry(ask.path.clone()).or_default() += 1;
         let mode = *self.mode.lock().expect("no holder panics");
         match mode {
-            StoreMode::Away => return text(503, "the store is away"),
+            StoreMode::Away => return text(503, "store unavailable"),
             StoreMode::Silent => std::future::pending::<()>().await,
             _ => {}
         }
         match ask.path.as_str() {
             "/api/log-append" => {
                 if let StoreMode::Slow(each) = mode {
-                    let _turn = self.turn.lock().await;
+                    let _lock = self.append_lock.lock().await;
                     sleep(each).await;
                 }
                 let answer = self.append(&ask);
@@ -186,22 +186,22 @@
                 answer
             }
             "/api/log-read" => {
-                self.wait(&ask).await;
+                self.delay_read(&ask).await;
                 self.read(&ask).await
             }
             "/api/log-newest" => {
-                self.wait(&ask).await;
+                self.delay_read(&ask).await;
                 self.newest(&ask)
             }
             "/api/log-join" => self.join(&ask),
             "/api/log-leave" => self.leave(&ask),
-            "/api/log-owners" => self.told_owners(&ask),
-            _ => text(404, "the store has no such call"),
+            "/api/log-owners" => self.list_owners(&ask),
+            _ => text(404, "unknown path"),
         }
     }
 
-    /// Waits as long as readers of the topic have to.
-    async fn wait(&self, ask: &Ask) {
+    /// Waits for the delay of reads of the topic.
+    async fn delay_read(&self, ask: &Ask) {
         let topic = ask.param("topic").unwrap_or_default();
         let wait = self.delays.lock().expect("no holder panics").get(topic).copied();
         sleep(wait.unwrap_or_default()).await;
@@ -209,43 +209,43 @@
 
     fn append(&self, ask: &Ask) -> Answer {
         let Ok(records) = unframe(ask.body.clone()) else {
-            return text(400, "the body is torn");
+            return text(400, "body truncated within a record");
         };
         let writer = ask.param("producer").map(|name| Writer {
             name: name.into(),
             epoch: number(ask, "epoch"),
             call: number(ask, "call_seq"),
         });
-        let shut = self.shut_until(ask);
-        if writer.as_ref().is_some_and(|w| shut.is_some_and(|epoch| w.epoch <= epoch)) {
-            return text(503, "the store turns this writer away");
+        let rejected = self.rejected_epoch(ask);
+        if writer.as_ref().is_some_and(|w| rejected.is_some_and(|epoch| w.epoch <= epoch)) {
+            return text(503, "writer rejected");
         }
-        let done = self.at(ask, |part| part.append(writer, records));
-        self.grown.notify_waiters();
+        let done = self.with_partition(ask, |partition| partition.append(writer, records));
+        self.appended.notify_waiters();
         match done {
             Ok((offset, end)) => json(&json!({ "offset": offset, "end": end })),
             Err(Refusal::Fenced) => conflict(&json!({ "reason": "fenced" })),
-            Err(Refusal::Sequence(wanted)) => {
-                conflict(&json!({ "reason": "seq", "call_seq": wanted }))
+            Err(Refusal::Sequence(expected)) => {
+                conflict(&json!({ "reason": "seq", "call_seq": expected }))
             }
         }
     }
 
-    /// Up to which epoch writers of the topic are turned away.
-    fn shut_until(&self, ask: &Ask) -> Option<u64> {
+    /// The highest epoch whose writers of the topic are rejected.
+    fn rejected_epoch(&self, ask: &Ask) -> Option<u64> {
         let topic = ask.param("topic").unwrap_or_default();
-        self.shut.lock().expect("no holder panics").get(topic).copied()
+        self.rejected.lock().expect("no holder panics").get(topic).copied()
     }
 
     async fn read(&self, ask: &Ask) -> Answer {
         let from = number(ask, "from") as usize;
-        let wait = Duration::from_millis(number(ask, "wait_ms")).min(LONGEST);
+        let wait = Duration::from_millis(number(ask, "wait_ms")).min(MAX_WAIT);
         let end = Instant::now() + wait;
         loop {
-            let grown = self.grown.notified();
-            let (records, first, last) = self.at(ask, |part| {
-                let records = part.records.get(from..).unwrap_or_default().to_vec();
-                (records, part.first, part.records.len() as u64)
+            let appended = self.appended.notified();
+            let (records, first, last) = self.with_partition(ask, |partition| {
+                let records = partition.records.get(from..).unwrap_or_default().to_vec();
+                (records, partition.first, partition.records.len() as u64)
             });
             if from < first {
                 let gone = json!({ "first": first }).to_string().into_bytes();
@@ -259,22 +259,22 @@
                 records.iter().for_each(|r| frame(&mut body, r));
                 return answer(200, "application/octet-stream", body.to_vec());
             }
-            let _ = timeout(left, grown).await;
+            let _ = timeout(left, appended).await;
         }
     }
 
     fn newest(&self, ask: &Ask) -> Answer {
         let after = ask.param("after").unwrap_or_default().to_string();
-        self.at(ask, |part| {
+        self.with_partition(ask, |partition| {
             let mut newest = BTreeMap::new();
-            for (offset, record) in part.records.iter().enumerate() {
+            for (offset, record) in partition.records.iter().enumerate() {
                 let Ok(framed) = unframe_keyed(record.clone()) else {
                     continue;
                 };
                 newest.insert(framed.key, (offset, framed.value));
             }
             newest.retain(|key, (_, value)| !value.is_empty() && *key > after);
-            // Short pages, so that callers meet more than one.
+            // Pages are short so that callers need more than one.
             let more = newest.len() > 50;
             let items: Vec<_> = newest
                 .into_iter()
@@ -283,51 +283,54 @@
                     json!({ "key": key, "value": STANDARD.encode(&value), "offset": offset })
                 })
                 .collect();
-            json(&json!({ "items": items, "more": more, "end": part.records.len() }))
+            json(&json!({ "items": items, "more": more, "end": partition.records.len() }))
         })
     }
 
     fn join(&self, ask: &Ask) -> Answer {
         let Ok(join) = serde_json::from_slice::<Join>(&ask.body) else {
-            return text(400, "no join");
+            return text(400, "malformed join");
         };
         let mut groups = self.groups.lock().expect("no holder panics");
         let group = groups.entry(join.group).or_default();
         let ttl = Duration::from_millis(join.ttl_ms);
-        group.join(&join.member, ttl, PARTS, join.generation);
+        group.join(&join.member, ttl, PARTITIONS, join.generation);
         let topic = join.topics.first().cloned().unwrap_or_default();
-        let parts = group.held(&join.member).into_iter().map(|part| json!([topic, part, 0]));
+        let parts = group
+            .partitions(&join.member)
+            .into_iter()
+            .map(|partition| json!([topic, partition, 0]));
         let parts: Vec<_> = parts.collect();
         json(&json!({ "generation": group.generation(), "ttl_ms": join.ttl_ms, "parts": parts }))
     }
 
     fn leave(&self, ask: &Ask) -> Answer {
         let Ok(leave) = serde_json::from_slice::<Leave>(&ask.body) else {
-            return text(400, "no leave");
+            return text(400, "malformed leave");
         };
         let mut groups = self.groups.lock().expect("no holder panics");
-        groups.entry(leave.group).or_default().leave(&leave.member, PARTS);
+        groups.entry(leave.group).or_default().leave(&leave.member, PARTITIONS);
         json(&json!({}))
     }
 
-    fn told_owners(&self, ask: &Ask) -> Answer {
+    fn list_owners(&self, ask: &Ask) -> Answer {
         let rows = self.owners(ask.param("group").unwrap_or_default());
-        let rows = rows.into_iter().map(|(part, member)| json!(["t", part, member, 0]));
+        let rows = rows.into_iter().map(|(partition, member)| json!(["t", partition, member, 0]));
         json(&json!({ "owners": rows.collect::<Vec<_>>() }))
     }
 
-    fn at<T>(&self, ask: &Ask, f: impl FnOnce(&mut Part) -> T) -> T {
+    fn with_partition<T>(&self, ask: &Ask, f: impl FnOnce(&mut Partition) -> T) -> T {
         let topic = ask.param("topic").unwrap_or_default().to_string();
-        self.part(&topic, number(ask, "part") as u32, f)
+        self.partition(&topic, number(ask, "part") as u32, f)
     }
 
-    fn part<T>(&self, topic: &str, part: u32, f: impl FnOnce(&mut Part) -> T) -> T {
-        let mut parts = self.parts.lock().expect("no holder panics");
-        f(parts.entry((topic.into(), part)).or_default())
+    fn partition<T>(&self, topic: &str, partition: u32, f: impl FnOnce(&mut Partition) -> T) -> T {
+        let mut partitions = self.partitions.lock().expect("no holder panics");
+        f(partitions.entry((topic.into(), partition)).or_default())
     }
 }
 
-/// A record with a key, as it lies in a topic.
+/// Encodes a keyed record as stored in a topic.
 fn keyed(key: &str, value: &[u8]) -> Bytes {
     let mut record = vec![key.len() as u8];
     record.extend(key.as_bytes());
--- a/crates/standin/src/worker.rs
+++ b/crates/standin/src/worker.rs
@@ -1,4 +1,4 @@
-//! A worker: runs tasks under a lease and keeps to the published control interface.
+//! The stand-in for a worker of the older half, which runs tasks under a lease and implements the control interface.
 
 use std::collections::BTreeMap;
 use std::sync::{Arc, Mutex};
@@ -14,29 +14,29 @@
 
 use crate::{Record, Run, RunEnd, Upstream};
 
-/// The time between looks at leases and progress.
+/// The interval at which leases and progress are updated.
 const TICK: Duration = Duration::from_millis(20);
 
-/// The work between two checkpoints.
-const STEP: Millis = Millis(250);
+/// The amount of work between two checkpoints.
+const CHECKPOINT_WORK: Millis = Millis(250);
 
-/// How late usage is told.
-const USAGE_LAG: Millis = Millis(2_000);
+/// The minimum interval between usage reports.
+const USAGE_INTERVAL: Millis = Millis(2_000);
 
-/// What a worker does.
+/// The behaviour of a worker.
 #[derive(Debug, Default, Clone, Copy, PartialEq, Eq, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum WorkerMode {
-    /// It works.
+    /// It works normally.
     #[default]
     Ok,
-    /// It is dead; when it comes back it begins a new life.
+    /// It is dead; it returns as a new incarnation.
     Down,
-    /// It is frozen: it answers nothing and its tasks do nothing.
+    /// It is frozen: it doesn't answer, and its tasks make no progress.
     Paused,
-    /// It fails every task.
+    /// All its tasks fail.
     Failing,
-    /// It runs but cannot be reached.
+    /// It runs tasks but can't be reached.
     Cut,
 }
 
@@ -50,18 +50,18 @@
 }
 
 #[derive(Debug, Default)]
-struct Inner {
+struct State {
     boot: u64,
     mode: WorkerMode,
     lease: Millis,
     number: u64,
     attempts: BTreeMap<String, Attempt>,
-    /// The newest attempt that is over, by task; earlier starts are refused.
+    /// The newest ended attempt by task; starts up to it are refused.
     over: BTreeMap<String, u16>,
-    told: Millis,
+    usage_at: Millis,
 }
 
-/// One worker.
+/// The stand-in for a worker.
 #[derive(Debug)]
 pub struct Worker {
     name: String,
@@ -69,11 +69,11 @@
     scale: f64,
     record: Arc<Record>,
     upstream: Arc<Upstream>,
-    inner: Mutex<Inner>,
+    inner: Mutex<State>,
 }
 
 impl Worker {
-    /// A worker whose tasks use `scale` times what they were given.
+    /// Creates a worker whose tasks use `scale` times the room allocated to them.
     pub fn new(
         name: &str,
         room: Room,
@@ -81,11 +81,11 @@
         record: Arc<Record>,
         upstream: Arc<Upstream>,
     ) -> Self {
-        let inner = Inner { boot: 1, ..Inner::default() };
+        let inner = State { boot: 1, ..State::default() };
         Self { name: name.into(), room, scale, record, upstream, inner: Mutex::new(inner) }
     }
 
-    /// Changes what it does.
+    /// Changes the behaviour.
     pub fn set(&self, mode: WorkerMode) {
         let mut inner = self.inner.lock().expect("no holder panics");
         if mode == WorkerMode::Down {
@@ -100,11 +100,11 @@
         }
         inner.mode = mode;
         if mode == WorkerMode::Ok {
-            self.lapse(&mut inner);
+            self.stop_expired(&mut inner);
         }
     }
 
-    /// Moves its tasks forward until the future is dropped.
+    /// Advances its tasks until the future is dropped.
     pub async fn run(self: Arc<Self>) {
         let mut last = self.record.now();
         loop {
@@ -112,32 +112,32 @@
             let now = self.record.now();
             let mut inner = self.inner.lock().expect("no holder panics");
             if !matches!(inner.mode, WorkerMode::Paused | WorkerMode::Down) {
-                self.lapse(&mut inner);
-                self.work(&mut inner, now.since(last));
+                self.stop_expired(&mut inner);
+                self.advance(&mut inner, now.since(last));
             }
             last = now;
         }
     }
 
-    /// Answers a call of the control interface.
+    /// Handles a request to the control interface.
     pub async fn handle(&self, ask: Ask) -> Answer {
         let mode = self.inner.lock().expect("no holder panics").mode;
         if matches!(mode, WorkerMode::Down | WorkerMode::Paused | WorkerMode::Cut) {
             tokio::time::sleep(Duration::from_secs(60)).await;
-            return text(503, "the worker is away");
+            return text(503, "worker unavailable");
         }
         let Ok(request) = serde_json::from_slice::<SyncRequest>(&ask.body) else {
-            return text(400, "the exchange cannot be read");
+            return text(400, "malformed exchange");
         };
         json(&self.sync(&request))
     }
 
-    /// One exchange.
+    /// Executes one exchange.
     pub fn sync(&self, request: &SyncRequest) -> SyncReply {
         let mut inner = self.inner.lock().expect("no holder panics");
-        self.lapse(&mut inner);
+        self.stop_expired(&mut inner);
         if request.boot == inner.boot {
-            self.obey(&mut inner, request);
+            self.apply(&mut inner, request);
         }
         let mut reply = SyncReply {
             boot: inner.boot,
@@ -146,16 +146,16 @@
             ..SyncReply::default()
         };
         let seen = if request.boot == inner.boot { request.seen } else { 0 };
-        let fresh = inner.attempts.iter().filter(|(_, a)| a.number > seen);
-        reply.reports = fresh.map(|(task, a)| report(task, a)).collect();
-        if reply.clock.since(inner.told) > USAGE_LAG {
-            inner.told = reply.clock;
+        let unseen = inner.attempts.iter().filter(|(_, a)| a.number > seen);
+        reply.reports = unseen.map(|(task, a)| report(task, a)).collect();
+        if reply.clock.since(inner.usage_at) > USAGE_INTERVAL {
+            inner.usage_at = reply.clock;
             reply.usage = Some(self.usage(&inner));
         }
         reply
     }
 
-    fn obey(&self, inner: &mut Inner, request: &SyncRequest) {
+    fn apply(&self, inner: &mut State, request: &SyncRequest) {
         for noted in &request.noted {
             let same = inner.attempts.get(&noted.task);
             if same
@@ -171,17 +171,17 @@
         for start in &request.start {
             self.start(inner, start);
         }
-        for slow in &request.throttle {
-            if let Some(attempt) = inner.attempts.get_mut(&slow.task) {
-                attempt.percent = slow.percent;
+        for throttle in &request.throttle {
+            if let Some(attempt) = inner.attempts.get_mut(&throttle.task) {
+                attempt.percent = throttle.percent;
             }
         }
     }
 
-    fn start(&self, inner: &mut Inner, start: &Start) {
+    fn start(&self, inner: &mut State, start: &Start) {
         let over = inner.over.get(&start.task).is_some_and(|a| *a >= start.attempt);
-        let there = inner.attempts.contains_key(&start.task);
-        if over || there || self.record.now() >= inner.lease {
+        let present = inner.attempts.contains_key(&start.task);
+        if over || present || self.record.now() >= inner.lease {
             return;
         }
         let running = inner.attempts.values().filter(|a| a.state == RunState::Running);
@@ -192,7 +192,7 @@
         inner.number += 1;
         let attempt = Attempt {
             start: start.clone(),
-            worked: Millis(u64::from(start.checkpoint) * STEP.0),
+            worked: Millis(u64::from(start.checkpoint) * CHECKPOINT_WORK.0),
             percent: 100,
             state: RunState::Running,
             number: inner.number,
@@ -211,19 +211,19 @@
         });
     }
 
-    fn stop(&self, inner: &mut Inner, stop: &Stop) {
+    fn stop(&self, inner: &mut State, stop: &Stop) {
         let known = inner.attempts.get(&stop.task).map(|a| a.start.attempt);
         match known {
             Some(attempt) if attempt == stop.attempt => {
                 self.finish(inner, &stop.task, RunState::Stopped, None);
             }
             Some(_) => {}
-            None => self.refuse_later(inner, stop),
+            None => self.refuse_start(inner, stop),
         }
     }
 
-    /// Notes that an attempt it never saw is over, and reports so.
-    fn refuse_later(&self, inner: &mut Inner, stop: &Stop) {
+    /// Records and reports an attempt that it never received as stopped, so that a late start is refused.
+    fn refuse_start(&self, inner: &mut State, stop: &Stop) {
         inner.number += 1;
         let start = Start {
             task: stop.task.clone(),
@@ -240,8 +240,8 @@
         inner.over.insert(stop.task.clone(), stop.attempt);
     }
 
-    /// Stops what runs under a lease that has ended.
-    fn lapse(&self, inner: &mut Inner) {
+    /// Stops leased attempts if the lease has expired.
+    fn stop_expired(&self, inner: &mut State) {
         let end = inner.lease;
         if self.record.now() < end {
             return;
@@ -250,23 +250,23 @@
         let tasks: Vec<String> =
             inner.attempts.iter().filter(|(_, a)| leased(a)).map(|(t, _)| t.clone()).collect();
         for task in tasks {
-            // A frozen worker did nothing after its lease ended, whenever it wakes.
+            // A frozen worker did no work after its lease expired, whenever it resumes.
             self.finish(inner, &task, RunState::Stopped, Some(end));
         }
     }
 
-    fn work(&self, inner: &mut Inner, passed: Millis) {
+    fn advance(&self, inner: &mut State, elapsed: Millis) {
         let failing = inner.mode == WorkerMode::Failing;
         let mut ended = Vec::new();
-        let mut marked = Vec::new();
+        let mut checkpointed = Vec::new();
         for (task, attempt) in &mut inner.attempts {
             if attempt.state != RunState::Running {
                 continue;
             }
-            let before = attempt.worked.0 / STEP.0;
-            attempt.worked += Millis(passed.0 * u64::from(attempt.percent) / 100);
-            if attempt.worked.0 / STEP.0 > before {
-                marked.push(task.clone());
+            let before = attempt.worked.0 / CHECKPOINT_WORK.0;
+            attempt.worked += Millis(elapsed.0 * u64::from(attempt.percent) / 100);
+            if attempt.worked.0 / CHECKPOINT_WORK.0 > before {
+                checkpointed.push(task.clone());
             }
             if failing {
                 ended.push((task.clone(), RunState::Failed));
@@ -274,7 +274,7 @@
                 ended.push((task.clone(), RunState::Done));
             }
         }
-        for task in marked {
+        for task in checkpointed {
             inner.number += 1;
             let number = inner.number;
             inner.attempts.entry(task).and_modify(|a| a.number = number);
@@ -284,8 +284,8 @@
         }
     }
 
-    /// Ends an attempt now, or at the time at which it lapsed.
-    fn finish(&self, inner: &mut Inner, task: &str, state: RunState, lapsed: Option<Millis>) {
+    /// Ends an attempt now, or at the time at which its lease expired.
+    fn finish(&self, inner: &mut State, task: &str, state: RunState, lapsed: Option<Millis>) {
         inner.number += 1;
         let number = inner.number;
         let Some(attempt) = inner.attempts.get_mut(task) else { return };
@@ -305,7 +305,7 @@
         self.record.end_run(&self.name, task, no, end);
     }
 
-    fn usage(&self, inner: &Inner) -> UsageReport {
+    fn usage(&self, inner: &State) -> UsageReport {
         let running = inner.attempts.iter().filter(|(_, a)| a.state == RunState::Running);
         let used = |room: Room| Room {
             cpu: (f64::from(room.cpu) * self.scale) as u32,
@@ -331,5 +331,5 @@
 }
 
 fn checkpoint(attempt: &Attempt) -> u32 {
-    (attempt.worked.0 / STEP.0) as u32
+    (attempt.worked.0 / CHECKPOINT_WORK.0) as u32
 }
--- a/crates/standin/src/world.rs
+++ b/crates/standin/src/world.rs
@@ -1,4 +1,4 @@
-//! A whole platform on loopback, with a control interface for faults.
+//! A complete stand-in platform on loopback, with a control interface that injects faults.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -13,22 +13,22 @@
 
 use crate::{Hosts, Log, LogMode, Record, Upstream, UpstreamMode, Worker, WorkerMode};
 
-/// What to start.
+/// The configuration of a stand-in platform.
 #[derive(Debug, Clone)]
 pub struct Plan {
     /// The data centres.
     pub centres: Vec<String>,
-    /// Workers in each data centre.
+    /// The number of workers in each data centre.
     pub workers: usize,
-    /// The service that every worker runs an upstream of.
+    /// The service of every worker's upstream.
     pub service: String,
-    /// What each worker has for tasks.
+    /// The room of each worker for tasks.
     pub room: Room,
-    /// What tasks use against what they were given.
+    /// The ratio of the room that tasks use to the room allocated to them.
     pub scale: f64,
-    /// How late the host list is.
+    /// The delay of changes in the host list.
     pub lag: Duration,
-    /// Records that the log keeps of each stream.
+    /// The number of records that the log retains of each stream.
     pub kept: usize,
 }
 
@@ -46,33 +46,33 @@
     }
 }
 
-/// Workers in one rack.
-const RACK: usize = 8;
+/// The number of workers in a rack.
+const RACK_SIZE: usize = 8;
 
-/// An order to fail or to recover.
+/// An injected fault or recovery.
 #[derive(Debug, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum Control {
-    /// To the log.
+    /// Changes the mode of the log.
     Log(LogMode),
-    /// To a worker.
+    /// Changes the mode of a worker.
     Worker(String, WorkerMode),
-    /// To an upstream, by the name of its worker.
+    /// Changes the mode of an upstream, named by its worker.
     Upstream(String, UpstreamMode),
-    /// A host leaves, says the list.
+    /// Marks a host as leaving in the host list.
     Leave(String),
-    /// A host is gone, says the list.
+    /// Removes a host from the host list.
     Remove(String),
 }
 
-/// The running stand-ins.
+/// A running stand-in platform.
 #[derive(Debug)]
 pub struct World {
-    /// Where the log listens.
+    /// The address of the log.
     pub log_at: SocketAddr,
-    /// Where the host list and the control interface listen.
+    /// The address of the host list and the control interface.
     pub hosts_at: SocketAddr,
-    /// What was seen.
+    /// The record of all stand-ins.
     pub record: Arc<Record>,
     /// The log.
     pub log: Arc<Log>,
@@ -83,7 +83,7 @@
 }
 
 impl World {
-    /// Starts everything on ports that the system chooses.
+    /// Starts all stand-ins on ports chosen by the system.
     pub async fn start(plan: &Plan) -> std::io::Result<Arc<Self>> {
         let record = Arc::new(Record::default());
         let log = Arc::new(Log::new(plan.kept));
@@ -119,15 +119,15 @@
         Ok(world)
     }
 
-    /// Carries out an order.
+    /// Injects a fault or a recovery.
     pub fn control(&self, control: Control) -> Result<(), String> {
         match control {
             Control::Log(mode) => self.log.set(mode),
             Control::Worker(name, mode) => {
-                self.workers.get(&name).ok_or(format!("there is no worker {name}"))?.set(mode);
+                self.workers.get(&name).ok_or(format!("unknown worker {name}"))?.set(mode);
             }
             Control::Upstream(name, mode) => {
-                self.upstreams.get(&name).ok_or(format!("there is no upstream {name}"))?.set(mode);
+                self.upstreams.get(&name).ok_or(format!("unknown upstream {name}"))?.set(mode);
             }
             Control::Leave(name) => self.hosts.leave(&name),
             Control::Remove(name) => self.hosts.remove(&name),
@@ -151,7 +151,7 @@
                 },
                 Err(e) => text(400, e.to_string()),
             },
-            _ => text(404, "there are /hosts, /record, /runs and /control"),
+            _ => text(404, "unknown path; /hosts, /record, /runs and /control exist"),
         }
     }
 
@@ -162,7 +162,7 @@
             name: name.clone(),
             role: Role::Worker,
             data_centre: centre.into(),
-            rack: format!("{centre}-r{}", n / RACK),
+            rack: format!("{centre}-r{}", n / RACK_SIZE),
             http: control_port.local_addr()?,
             peer: upstream_port.local_addr()?,
             service: plan.service.clone(),
@@ -170,8 +170,8 @@
             leaving: false,
         };
         let upstream = Arc::new(Upstream::new(&name, self.record.clone()));
-        let (record, beside) = (self.record.clone(), upstream.clone());
-        let worker = Arc::new(Worker::new(&name, plan.room, plan.scale, record, beside));
+        let (record, local_upstream) = (self.record.clone(), upstream.clone());
+        let worker = Arc::new(Worker::new(&name, plan.room, plan.scale, record, local_upstream));
         tokio::spawn(worker.clone().run());
         tokio::spawn(upstream.clone().run(upstream_port));
         let shared = worker.clone();
