--- a/crates/owner/benches/plan.rs
+++ b/crates/owner/benches/plan.rs
@@ -1,4 +1,4 @@
-//! What a pass over the waiting tasks of a large cell costs its owner.
+//! Benchmarks of planning and of worker reports in a large cell.
 
 use criterion::{BatchSize, Criterion, criterion_group, criterion_main};
 use std::collections::BTreeMap;
@@ -10,19 +10,19 @@
 };
 use myrtle_owner::{Bounds, Cell, Order, Outcome};
 
-/// How many workers the cell has; each has 32 cores.
+/// The number of workers, each with 32 cores.
 const WORKERS: u16 = 350;
 
-/// How many jobs of 14 lasting tasks there are; with five cores each they take 0.86 of the cell.
-const LASTING: u64 = 138;
+/// The number of jobs of 14 long-running tasks; with five cores each they take 0.86 of the cell.
+const LONG_JOBS: u64 = 138;
 
-/// How many jobs of 20 fillers there are.
-const FILLERS: u64 = 300;
+/// The number of jobs of 20 fillers.
+const FILLER_JOBS: u64 = 300;
 
-/// Images of serving tasks, and of fillers.
+/// The number of images of serving tasks, and likewise of fillers.
 const IMAGES: u64 = 9;
 
-fn name(worker: u16) -> Incarnation {
+fn incarnation(worker: u16) -> Incarnation {
     Incarnation::new(format!("w{worker}"), 0)
 }
 
@@ -43,9 +43,9 @@
             cold: 0,
             start: 0,
         };
-        cell.list(name(n).id(), listing, 1_000);
+        cell.list(incarnation(n).id(), listing, 1_000);
         let held = Held { start: 0, clock: 1_000, running: vec![], ended: vec![] };
-        cell.held(&name(n), held, 1_000, 1_000, 1_000);
+        cell.held(&incarnation(n), held, 1_000, 1_000, 1_000);
     }
     cell
 }
@@ -63,8 +63,8 @@
     cell.admit(JobId(id), Submission { policy, spec, taken: now }, now, now);
 }
 
-fn lasting(cell: &mut Cell, now: u64) {
-    for id in 0..LASTING {
+fn admit_long_running(cell: &mut Cell, now: u64) {
+    for id in 0..LONG_JOBS {
         let step = StepSpec {
             count: 14,
             room: Room { cpu: 4_500 + 100 * (id % 11) as u32, mem: 2_000, accel: 0 },
@@ -78,8 +78,8 @@
     }
 }
 
-fn fillers(cell: &mut Cell, now: u64) {
-    for id in 0..FILLERS {
+fn admit_fillers(cell: &mut Cell, now: u64) {
+    for id in 0..FILLER_JOBS {
         let step = StepSpec {
             count: 20,
             room: Room { cpu: 3_000 + 50 * (id % 20) as u32, mem: 3_000, accel: 0 },
@@ -93,8 +93,8 @@
     }
 }
 
-/// Plans, and lets workers start what was placed.
-fn write(cell: &mut Cell, now: u64) -> usize {
+/// Plans, and lets workers start the placed runs; returns how many.
+fn plan_and_start(cell: &mut Cell, now: u64) -> usize {
     while cell.plan(now) {}
     let batch = cell.batch();
     let starts = cell.committed(batch, now);
@@ -106,53 +106,63 @@
     starts.len()
 }
 
-/// Every worker tells of its runs; serving ones are near their targets.
+/// Lets every worker report its runs; serving ones are near their latency targets.
 fn report(cell: &mut Cell, now: u64) {
     let mut running: BTreeMap<Incarnation, Vec<Running>> = BTreeMap::new();
-    for (life, worker) in &cell.workers {
-        let rows = worker.flights.iter().map(|(&task, f)| Running {
+    for (incarnation, worker) in &cell.workers {
+        let rows = worker.flights.iter().map(|(&task, active)| Running {
             task,
-            run: f.run,
+            run: active.run,
             saved: String::new(),
             percent: 100.0,
-            figure: Some(if f.target.is_some() { 35.0 + (now % 7) as f64 } else { 1_500.0 }),
+            figure: Some(if active.target.is_some() { 35.0 + (now % 7) as f64 } else { 1_500.0 }),
         });
-        running.insert(life.clone(), rows.collect());
+        running.insert(incarnation.clone(), rows.collect());
     }
-    for (life, running) in running {
-        cell.held(&life, Held { start: 0, clock: now, running, ended: vec![] }, now, now, now);
+    for (incarnation, running) in running {
+        cell.held(
+            &incarnation,
+            Held { start: 0, clock: now, running, ended: vec![] },
+            now,
+            now,
+            now,
+        );
     }
 }
 
-/// A cell that is full, with fillers that find no place.
-fn full() -> (Cell, u64) {
+/// A full cell in which some fillers find no worker, and the time that it has reached.
+fn full_cell() -> (Cell, u64) {
     let mut cell = cell();
-    lasting(&mut cell, 1_000);
-    write(&mut cell, 1_000);
-    write(&mut cell, 3_000);
-    fillers(&mut cell, 3_000);
+    admit_long_running(&mut cell, 1_000);
+    plan_and_start(&mut cell, 1_000);
+    plan_and_start(&mut cell, 3_000);
+    admit_fillers(&mut cell, 3_000);
     let mut now = 3_000;
     for _ in 0..8 {
         now += 500;
         report(&mut cell, now);
-        write(&mut cell, now);
+        plan_and_start(&mut cell, now);
     }
     (cell, now)
 }
 
-fn passes(c: &mut Criterion) {
+fn plan(c: &mut Criterion) {
     let mut group = c.benchmark_group("plan");
     group.sample_size(10);
     group.bench_function("first_lasting_tasks", |b| {
         let fresh = || {
             let mut cell = cell();
-            lasting(&mut cell, 1_000);
+            admit_long_running(&mut cell, 1_000);
             cell
         };
-        b.iter_batched_ref(fresh, |cell| black_box(write(cell, 1_000)), BatchSize::LargeInput);
+        b.iter_batched_ref(
+            fresh,
+            |cell| black_box(plan_and_start(cell, 1_000)),
+            BatchSize::LargeInput,
+        );
     });
     group.bench_function("full_cell", |b| {
-        let (mut cell, mut now) = full();
+        let (mut cell, mut now) = full_cell();
         b.iter(|| {
             now += 100;
             while cell.plan(now) {}
@@ -160,7 +170,7 @@
         });
     });
     group.bench_function("reports_of_a_full_cell", |b| {
-        let (mut cell, mut now) = full();
+        let (mut cell, mut now) = full_cell();
         b.iter(|| {
             now += 500;
             report(&mut cell, now);
@@ -170,5 +180,5 @@
     group.finish();
 }
 
-criterion_group!(benches, passes);
+criterion_group!(benches, plan);
 criterion_main!(benches);
--- a/crates/owner/tests/mutated.rs
+++ b/crates/owner/tests/mutated.rs
@@ -1,4 +1,4 @@
-//! Records of the owners' own topics, mutated: a new owner reads what makes sense and goes on with the others.
+//! Mutated records of the owners' topics: a new owner reads those that decode and goes on with the other jobs.
 //!
 //! By hand: `PROPTEST_CASES=100000 cargo test --release -p myrtle-owner --test mutated`.
 
@@ -12,11 +12,11 @@
 };
 use myrtle_owner::{Bounds, Cell};
 
-/// Bytes that are changed: where, and what stands there then.
-type Changes = Vec<(usize, u8)>;
+/// Mutations: positions and the bytes to store there.
+type Mutations = Vec<(usize, u8)>;
 
-/// Changes bytes, and cuts them if that is asked for.
-fn mutate(record: &[u8], changes: &Changes, cut: Option<usize>) -> Vec<u8> {
+/// Stores changed bytes in a record, and truncates it where a length is given.
+fn mutate(record: &[u8], changes: &Mutations, cut: Option<usize>) -> Vec<u8> {
     let mut bytes = record.to_vec();
     for (at, byte) in changes {
         let at = at % bytes.len();
@@ -28,14 +28,14 @@
     bytes
 }
 
-/// A job of two steps, the second of them lasting.
+/// A job of two steps, the second of them long-running.
 fn submission() -> Submission {
     let second = StepSpec { lasting: true, after: vec![0], ..step(2) };
     Submission { policy: policy(), spec: job(vec![step(3), second]), taken: 1 }
 }
 
-/// What an owner has written of a job under way.
-fn written() -> Vec<u8> {
+/// The encoded progress of a running job.
+fn stored_progress() -> Vec<u8> {
     let mut world = World::new(3, 2);
     world.run(2_000);
     let id = world.submit(submission().spec);
@@ -46,14 +46,15 @@
     encode(&world.owner().cell.jobs[&id].progress)
 }
 
-/// A new owner with two workers reads a job with this progress and one without; it acts for a while.
-fn act(progress: Option<Progress>, part: Option<Part>) -> usize {
+/// Lets a new owner with two workers recover a job from these records beside an intact one, and act for a while;
+/// returns the number of runs of the intact job.
+fn recover(progress: Option<Progress>, part: Option<Part>) -> usize {
     let mut cell = Cell::new(Bounds::default(), 2, 1_000);
-    let (odd, plain) = (JobId(1), JobId(2));
-    cell.admit(odd, submission(), 1_000, 1_000);
-    cell.admit(plain, submission(), 1_000, 1_000);
+    let (mutated, intact) = (JobId(1), JobId(2));
+    cell.admit(mutated, submission(), 1_000, 1_000);
+    cell.admit(intact, submission(), 1_000, 1_000);
     if let Some(progress) = progress {
-        cell.inherit(odd, progress, 1_000);
+        cell.inherit(mutated, progress, 1_000);
     }
     if let Some(part) = part {
         cell.take_part(PartId { job: JobId(3), from: 1, number: 0 }, part, 1_000, 1_000);
@@ -61,10 +62,10 @@
     cell.loaded = true;
     let workers = ["a", "b"].map(|id| Incarnation::new(id, 0));
     for now in (1_100..9_000).step_by(100) {
-        for (n, life) in workers.iter().enumerate() {
-            cell.list(life.id(), listing(n as u16), now);
+        for (n, incarnation) in workers.iter().enumerate() {
+            cell.list(incarnation.id(), listing(n as u16), now);
             let held = Held { clock: now, ..Held::default() };
-            cell.held(life, held, now, now, now);
+            cell.held(incarnation, held, now, now, now);
         }
         cell.lapse(now);
         cell.evacuate(now);
@@ -75,8 +76,8 @@
         cell.committed(batch, now);
         cell.deliveries();
     }
-    cell.explain(odd, 9_000);
-    cell.jobs[&plain].runs(plain).len()
+    cell.explain(mutated, 9_000);
+    cell.jobs[&intact].runs(intact).len()
 }
 
 proptest! {
@@ -85,13 +86,13 @@
         changes in prop::collection::vec((any::<usize>(), any::<u8>()), 0..4),
         cut in prop::option::of(any::<usize>()),
     ) {
-        thread_local!(static WRITTEN: Vec<u8> = written());
-        let bytes = WRITTEN.with(|written| mutate(written, &changes, cut));
-        prop_assert!(act(Progress::read(&bytes).ok(), None) > 0);
+        thread_local!(static PROGRESS: Vec<u8> = stored_progress());
+        let bytes = PROGRESS.with(|progress| mutate(progress, &changes, cut));
+        prop_assert!(recover(Progress::read(&bytes).ok(), None) > 0);
     }
 
     #[test]
-    fn a_mutated_part_stops_neither_the_owner_nor_other_jobs(
+    fn a_mutated_transfer_stops_neither_the_owner_nor_other_jobs(
         changes in prop::collection::vec((any::<usize>(), any::<u8>()), 0..4),
     ) {
         let task = |index| myrtle_job::TaskId { job: JobId(3), round: 0, step: 1, index };
@@ -99,7 +100,7 @@
         let (allowances, crashes) = (vec![], vec![]);
         let part = Part { submission: submission(), tasks: tasks.into(), allowances, crashes };
         let bytes = mutate(&encode(&part), &changes, None);
-        prop_assert!(act(None, Part::read(&bytes).ok()) > 0);
+        prop_assert!(recover(None, Part::read(&bytes).ok()) > 0);
     }
 
     #[test]
--- a/crates/owner/tests/placing.rs
+++ b/crates/owner/tests/placing.rs
@@ -1,4 +1,4 @@
-//! Where tasks go: gangs, racks, labels, workers that leave, fail or stand still.
+//! Placement of gangs, by rack and by label, and around workers that drain, fail or hang.
 
 mod common;
 
@@ -11,19 +11,19 @@
     gang.gang = true;
     world.submit(job(vec![gang.clone()]));
     world.run(1_000);
-    assert_eq!(world.judge.starts.len(), 0, "64 fit, 70 do not");
+    assert_eq!(world.judge.starts.len(), 0, "64 tasks fit, 70 do not");
     gang.count = 60;
     world.submit(job(vec![gang]));
     world.run(100);
     assert_eq!(world.judge.starts.len(), 60);
 });
 
-case!(tasks_of_a_step_are_spread_and_labels_are_kept, world, {
+case!(tasks_of_a_step_are_spread_and_required_labels_are_respected, world, {
     let mut spread = step(4);
     spread.spread = 1;
     world.submit(job(vec![spread]));
     let mut labelled = step(1);
-    labelled.requires = Some("none has it".into());
+    labelled.requires = Some("absent".into());
     let id = world.submit(job(vec![labelled]));
     world.run(3_000);
     assert_eq!(world.judge.together, 1);
@@ -31,19 +31,19 @@
 });
 
 #[test]
-fn tasks_that_slow_each_other_down_across_racks_stay_on_one() {
+fn a_same_rack_step_stays_on_one_rack() {
     let mut world = World::new(7, 8);
-    let mut tight = step(4);
-    tight.same_rack = true;
-    tight.room.cpu = 16_000;
-    world.submit(job(vec![tight]));
+    let mut spec = step(4);
+    spec.same_rack = true;
+    spec.room.cpu = 16_000;
+    world.submit(job(vec![spec]));
     world.run(300);
     let used = world.owner().cell.workers.values().filter(|w| !w.flights.is_empty());
     let racks: std::collections::BTreeSet<_> = used.filter_map(|w| w.rack()).collect();
     assert_eq!(racks.len(), 1, "{racks:?}");
 }
 
-case!(a_worker_that_leaves_gets_nothing_new, world, {
+case!(a_draining_worker_gets_no_new_runs, world, {
     let first = world.workers.keys().next().unwrap().clone();
     world.workers.get_mut(&first).unwrap().listing.draining = true;
     world.run(200);
@@ -53,11 +53,11 @@
     assert_eq!(used, 0);
 });
 
-case!(lasting_tasks_leave_a_leaving_worker_one_at_a_time, world, {
-    let mut lasting = step(8);
-    lasting.lasting = true;
-    lasting.may_miss = Some(1);
-    world.submit(job(vec![lasting]));
+case!(long_running_tasks_move_off_a_draining_worker_within_their_disruption_budget, world, {
+    let mut spec = step(8);
+    spec.lasting = true;
+    spec.may_miss = Some(1);
+    world.submit(job(vec![spec]));
     world.run(1_000);
     let first = world.workers.iter().find(|(_, w)| w.count() > 1).unwrap().0.clone();
     world.workers.get_mut(&first).unwrap().listing.draining = true;
@@ -67,11 +67,11 @@
         world.run(10);
         least = least.min(world.workers.values().map(|w| w.count()).sum());
     }
-    assert!(least >= 7, "{least} of 8 were at work");
+    assert!(least >= 7, "only {least} of 8 ran at once");
     assert_eq!(world.workers[&first].count(), 0);
 });
 
-case!(a_worker_that_fails_everything_is_left_alone, world, {
+case!(a_worker_that_fails_every_run_enters_backoff, world, {
     world.workers.values_mut().next().unwrap().failing = true;
     for _ in 0..12 {
         world.submit(job(vec![step(2)]));
@@ -83,13 +83,13 @@
     assert!(cell.counts.failed <= 6, "{} runs failed", cell.counts.failed);
 });
 
-case!(what_stands_still_goes_on_elsewhere, world, {
+case!(runs_that_hang_are_restarted_elsewhere, world, {
     world.workers.values_mut().next().unwrap().hanging = true;
     world.submit(job(vec![step(8)]));
     assert!(world.finish(8_000));
 });
 
-case!(a_timed_job_begins_at_its_times, world, {
+case!(a_repeated_job_starts_at_its_scheduled_times, world, {
     let mut spec = job(vec![step(1)]);
     spec.repeat = Some(Repeat { first: world.now + 2_000, every: 3_000, count: 3 });
     let id = world.submit(spec);
--- a/crates/owner/tests/ranks.rs
+++ b/crates/owner/tests/ranks.rs
@@ -1,28 +1,30 @@
-//! Who goes first where more is asked for than fits.
+//! The order in which jobs start when more is requested than fits.
 
 mod common;
 
 use common::{World, job, step};
 
-/// More jobs of two lengths come than four workers can take in time; tells how many were in time.
-fn in_time() -> usize {
+/// Submits more jobs of two sizes than four workers can finish in time; returns how many met their objectives.
+fn count_on_time() -> usize {
     let mut world = World::new(7, 4);
     let mut ids = Vec::new();
     for n in 0..160 {
-        let mut wide = step(if n % 2 == 0 { 24 } else { 4 });
-        wide.room.cpu = 4_000;
-        wide.estimate = 1_000;
-        ids.push((world.now, world.submit(job(vec![wide]))));
+        let mut spec = step(if n % 2 == 0 { 24 } else { 4 });
+        spec.room.cpu = 4_000;
+        spec.estimate = 1_000;
+        ids.push((world.now, world.submit(job(vec![spec]))));
         world.run(100);
     }
     assert!(world.finish(120_000));
     let cell = &world.owner().cell;
-    let ended = |id| cell.jobs[&id].progress.ended;
-    ids.iter().filter(|(came, id)| ended(*id) - came <= cell.jobs[id].objective()).count()
+    let ended_at = |id| cell.jobs[&id].progress.ended;
+    ids.iter()
+        .filter(|(submitted_at, id)| ended_at(*id) - submitted_at <= cell.jobs[id].objective())
+        .count()
 }
 
 #[test]
-fn an_overload_leaves_most_small_jobs_in_time() {
-    let count = in_time();
-    assert!(count >= 80, "{count} of 160 were in time");
+fn most_small_jobs_meet_their_objectives_under_overload() {
+    let count = count_on_time();
+    assert!(count >= 80, "{count} of 160 jobs met their objectives");
 }
--- a/crates/owner/tests/reserve.rs
+++ b/crates/owner/tests/reserve.rs
@@ -1,4 +1,4 @@
-//! What lasting tasks leave to short ones.
+//! The room that long-running tasks reserve for short ones.
 
 mod common;
 
@@ -7,11 +7,13 @@
 
 use common::{World, job, policy, step};
 
-/// How many lasting tasks of 8 cores fill the world's eight workers, and seven of them.
-const FULL: u16 = 32;
+/// The number of long-running tasks of 8 cores that fill eight workers.
+const EIGHT: u16 = 32;
+
+/// The number that fills seven.
 const SEVEN: usize = 28;
 
-/// Names a case and gives it a world of eight workers.
+/// Declares a test with a world of eight workers.
 macro_rules! case {
     ($name:ident, $world:ident, $body:block) => {
         #[test]
@@ -23,13 +25,13 @@
     };
 }
 
-/// A step of lasting tasks of 8 cores.
-fn lasting(count: u16) -> StepSpec {
+/// A step of long-running tasks of 8 cores.
+fn long_running(count: u16) -> StepSpec {
     StepSpec { lasting: true, room: Room { cpu: 8_000, ..step(count).room }, ..step(count) }
 }
 
-/// Short jobs come for 24 s, which use 0.16 of the cell.
-fn demand(world: &mut World, priority: u32) {
+/// Submits short jobs for 24 s, which use 0.16 of the cell.
+fn submit_short(world: &mut World, priority: u32) {
     let room = Room { cpu: 16_000, ..step(2).room };
     let short = StepSpec { room, estimate: 1_000, ..step(2) };
     for _ in 0..30 {
@@ -38,41 +40,45 @@
     }
 }
 
-/// How many tasks of a job run.
+/// The number of active runs of a job.
 fn running(world: &World, job: JobId) -> usize {
     let owner = &world.owners.last().unwrap().cell;
     owner.workers.values().flat_map(|w| w.flights.keys()).filter(|t| t.job == job).count()
 }
 
-case!(tasks_that_never_ran_leave_what_short_jobs_ask_for, world, {
-    demand(&mut world, 0);
-    let id = world.submit(job(vec![lasting(FULL)]));
+case!(tasks_that_never_ran_leave_a_reserve_for_short_jobs, world, {
+    submit_short(&mut world, 0);
+    let id = world.submit(job(vec![long_running(EIGHT)]));
     world.run(8_000);
-    assert_eq!(running(&world, id), SEVEN, "a worker of eight is left");
+    assert_eq!(running(&world, id), SEVEN, "one worker of eight stays free");
 });
 
-case!(they_take_it_once_no_short_jobs_come, world, {
-    demand(&mut world, 0);
-    let id = world.submit(job(vec![lasting(FULL)]));
+case!(tasks_that_never_ran_use_the_reserve_once_no_short_jobs_are_submitted, world, {
+    submit_short(&mut world, 0);
+    let id = world.submit(job(vec![long_running(EIGHT)]));
     world.run(90_000);
-    assert_eq!(running(&world, id), usize::from(FULL));
+    assert_eq!(running(&world, id), usize::from(EIGHT));
 });
 
-case!(more_urgent_ones_leave_nothing_to_less_urgent, world, {
-    demand(&mut world, 2);
-    let id = world.submit(job(vec![lasting(FULL)]));
+case!(tasks_leave_no_reserve_for_short_jobs_of_lower_priority, world, {
+    submit_short(&mut world, 2);
+    let id = world.submit(job(vec![long_running(EIGHT)]));
     world.run(8_000);
-    assert_eq!(running(&world, id), usize::from(FULL));
+    assert_eq!(running(&world, id), usize::from(EIGHT));
 });
 
-case!(tasks_that_ran_before_take_it, world, {
-    let id = world.submit(job(vec![lasting(FULL)]));
+case!(tasks_that_ran_before_use_the_reserve, world, {
+    let id = world.submit(job(vec![long_running(EIGHT)]));
     world.run(60_000);
-    assert_eq!(running(&world, id), usize::from(FULL));
+    assert_eq!(running(&world, id), usize::from(EIGHT));
     world.workers.get_mut("w0").unwrap().listing.draining = true;
-    demand(&mut world, 0);
+    submit_short(&mut world, 0);
     assert_eq!(running(&world, id), SEVEN);
     world.add_worker("w8", 8);
     world.run(3_000);
-    assert_eq!(running(&world, id), usize::from(FULL), "users miss what ran before");
+    assert_eq!(
+        running(&world, id),
+        usize::from(EIGHT),
+        "tasks that ran before don't wait for the reserve"
+    );
 });
--- a/crates/owner/tests/resumed.rs
+++ b/crates/owner/tests/resumed.rs
@@ -1,13 +1,9 @@
-//! Lasting tasks that ran before come first wherever there is room for them, however much is asked for.
+//! Long-running tasks that ran before are placed first in any cell with room for them, however overloaded it is.
 //!
-//! Symptom: LOST; a task that was stopped since its worker leaves does not run for 17 s, though other
-//! workers have room for it twice over.
-//! Sequence: more is asked for than there is in all cells; workers of all of them leave at once.
-//! Cause: a cell that is asked for more than it has got nothing handed on, also where what waits there
-//! is too large for the room that is left; and tasks that were taken over ranked behind all that waited.
-//! Settled by: `claimed=` of 1.04 to 1.18 in all cells beside `others=5` to 9 (short tasks found room),
-//! `event=waits .. reason="no worker with its labels has room"` of a task whose run had been stopped,
-//! and no `tasks-handed-on` of it for 17 s.
+//! Fault: all cells are overloaded, and workers of all of them leave at once. An overloaded cell got no transferred
+//! tasks, although those that waited there were too large for its free room; and transferred tasks were ranked behind
+//! all that waited. A task stopped because its worker leaves then doesn't run for 17 s, although other workers have
+//! twice the room that it needs.
 
 mod cells;
 
@@ -16,20 +12,28 @@
 
 use cells::{Cells, JOB, starts, step};
 
-/// How long a stopped task may take to run in another cell.
-const SOON: u64 = 4_000;
+/// The time within which a stopped task has to run in another cell, in milliseconds.
+const START_LIMIT: u64 = 4_000;
 
-/// The cells of the tests.
+/// The home cell of the job.
 const HOME: usize = 0;
+
+/// A cell with room for transferred tasks.
 const OTHER: usize = 1;
 
-/// Jobs that come to the other cell.
+/// A job of large tasks in the other cell.
 const LARGE: JobId = JobId(21);
+
+/// A job that waits in the other cell.
 const WAITING: JobId = JobId(22);
-const PASSING: JobId = JobId(23);
+
+/// A job that is cancelled in the other cell.
+const CANCELLED: JobId = JobId(23);
+
+/// A job whose stopped tasks are transferred to the other cell.
 const STOPPED: JobId = JobId(24);
 
-/// Names a case and gives it two cells of four workers, the first of them full with one job.
+/// Declares a test with two cells of four workers each, of which one job fills the first.
 macro_rules! case {
     ($name:ident, $cells:ident, $body:block) => {
         #[test]
@@ -40,39 +44,39 @@
     };
 }
 
-/// A step of lasting tasks of so many cores each.
-fn lasting(count: u16, cores: u32) -> StepSpec {
+/// A step of long-running tasks with `cores` each.
+fn long_running(count: u16, cores: u32) -> StepSpec {
     let room = Room { cpu: 1_000 * cores, mem: 1_000, accel: 0 };
     StepSpec { count, room, ..step() }
 }
 
-/// The runs of a job that were started in a cell.
+/// The number of runs of a job that were started in a cell.
 fn started(cells: &Cells, cell: usize, job: JobId) -> usize {
     starts(&cells.orders[cell]).iter().filter(|(task, ..)| task.job == job).count()
 }
 
-case!(they_go_to_a_cell_that_is_asked_for_more_than_it_has, cells, {
-    cells.give_job(OTHER, LARGE, vec![lasting(4, 24)]);
-    cells.give_job(OTHER, WAITING, vec![lasting(4, 16)]);
-    cells.run(SOON);
+case!(stopped_tasks_are_transferred_to_an_overloaded_cell_with_room, cells, {
+    cells.give_job(OTHER, LARGE, vec![long_running(4, 24)]);
+    cells.give_job(OTHER, WAITING, vec![long_running(4, 16)]);
+    cells.run(START_LIMIT);
     assert_eq!(started(&cells, OTHER, LARGE), 4);
     assert_eq!(started(&cells, OTHER, WAITING), 0, "each worker has 8 cores left");
     cells.leave(HOME, 0);
-    cells.run(SOON);
-    assert_eq!(started(&cells, OTHER, JOB), 4, "tasks wait though there is room");
+    cells.run(START_LIMIT);
+    assert_eq!(started(&cells, OTHER, JOB), 4, "tasks wait although there is room");
 });
 
-case!(taken_over_they_go_before_what_never_ran, cells, {
+case!(transferred_tasks_start_before_tasks_that_never_ran, cells, {
     cells.deaf = true;
-    cells.give_job(OTHER, LARGE, vec![lasting(3, 32)]);
-    cells.give_job(OTHER, PASSING, vec![lasting(1, 32)]);
-    cells.run(SOON);
-    cells.give_job(OTHER, WAITING, vec![lasting(4, 8)]);
-    cells.run(SOON);
+    cells.give_job(OTHER, LARGE, vec![long_running(3, 32)]);
+    cells.give_job(OTHER, CANCELLED, vec![long_running(1, 32)]);
+    cells.run(START_LIMIT);
+    cells.give_job(OTHER, WAITING, vec![long_running(4, 8)]);
+    cells.run(START_LIMIT);
     cells.give_part(OTHER, STOPPED, 4);
-    cells.run(SOON);
-    cells.cancel(OTHER, PASSING);
-    cells.run(SOON);
-    assert_eq!(started(&cells, OTHER, STOPPED), 4, "what ran before goes first");
+    cells.run(START_LIMIT);
+    cells.cancel(OTHER, CANCELLED);
+    cells.run(START_LIMIT);
+    assert_eq!(started(&cells, OTHER, STOPPED), 4, "tasks that ran before start first");
     assert_eq!(started(&cells, OTHER, WAITING), 0);
 });
--- a/crates/owner/tests/rooms.rs
+++ b/crates/owner/tests/rooms.rs
@@ -1,4 +1,4 @@
-//! Workers whose room shrinks and grows while they run, and that start whatever they are told to.
+//! Workers whose room shrinks and grows while they run, and that start every run they are ordered to.
 
 mod common;
 
@@ -9,15 +9,15 @@
 use myrtle_base::Room;
 use myrtle_job::StepSpec;
 
-/// How many workers there are.
+/// The number of workers.
 const WORKERS: usize = 6;
 
-/// The room of a worker of so many cores.
+/// The room of a worker with `cores`.
 fn room(cores: u32) -> Room {
     Room { cpu: cores * 1_000, mem: cores * 4_000, accel: 0 }
 }
 
-/// A world whose workers guard nothing.
+/// A world whose workers accept runs beyond their room.
 fn unguarded(seed: u64) -> World {
     let mut world = World::new(seed, WORKERS);
     world.workers.values_mut().for_each(|w| w.unguarded = true);
@@ -25,19 +25,19 @@
     world
 }
 
-/// Resizes a worker by its number.
+/// Changes the room of the worker with this index.
 fn resize(world: &mut World, worker: usize, cores: u32) {
     let now = world.now;
     world.workers.values_mut().nth(worker).unwrap().resize(room(cores), now);
 }
 
-/// How many runs there are on a worker.
+/// The number of runs on a worker.
 fn runs(world: &World, worker: usize) -> usize {
     world.workers.values().nth(worker).unwrap().count()
 }
 
 #[test]
-fn a_room_that_grows_is_used_within_a_heartbeat() {
+fn room_that_grows_is_used_within_a_second() {
     let mut world = unguarded(1);
     (0..WORKERS).for_each(|worker| resize(&mut world, worker, 4));
     world.run(500);
@@ -51,7 +51,7 @@
 }
 
 #[test]
-fn a_room_that_shrinks_takes_nothing_until_enough_has_ended() {
+fn room_that_shrinks_takes_no_runs_until_enough_have_ended() {
     let mut world = unguarded(2);
     world.submit(job(vec![StepSpec { estimate: 6_000, ..step(48) }]));
     world.run(1_000);
@@ -61,9 +61,9 @@
     assert_eq!(world.judge.broken, Vec::<String>::new());
 }
 
-/// A room shrinks while the record of a start is on its way for seconds.
+/// Room shrinks while the log takes seconds to store the record of a start.
 #[test]
-fn what_was_placed_before_the_room_shrank_does_not_start_after_it() {
+fn runs_placed_before_the_room_shrank_do_not_start_beyond_it() {
     let mut world = unguarded(3);
     world.owner().logged = false;
     world.submit(job(vec![StepSpec { estimate: 1_000, ..step(24) }]));
@@ -75,8 +75,8 @@
     assert_eq!(world.judge.broken, Vec::<String>::new());
 }
 
-/// Plays a drawn course of rooms, jobs, owners and orders that are late or lost.
-fn play(seed: u64) {
+/// Runs a random sequence of resizes, jobs, changes of owner, and orders that are queued or lose their replies.
+fn run_random(seed: u64) {
     let mut rng = ChaCha8Rng::seed_from_u64(seed);
     let mut world = unguarded(seed);
     world.faults = Faults { unanswered: 0.05, late: 0.0, queued: 0.1, ..Faults::default() };
@@ -90,8 +90,8 @@
             5 => world.owner().logged = rng.random(),
             _ => {
                 let estimate = rng.random_range(200..3_000);
-                let lasting = rng.random_bool(0.05);
-                world.submit(job(vec![StepSpec { estimate, lasting, ..step(12) }]));
+                let long_running = rng.random_bool(0.05);
+                world.submit(job(vec![StepSpec { estimate, lasting: long_running, ..step(12) }]));
             }
         }
         world.run(rng.random_range(50..900));
@@ -100,12 +100,12 @@
 }
 
 #[test]
-fn no_start_goes_over_a_room_in_ten_courses() {
-    (0..10).for_each(play);
+fn no_start_exceeds_the_room_in_ten_random_sequences() {
+    (0..10).for_each(run_random);
 }
 
 #[test]
 #[ignore = "by hand: cargo test -p myrtle-owner --test rooms -- --ignored"]
-fn no_start_goes_over_a_room_in_two_hundred_courses() {
-    (10..210).for_each(play);
+fn no_start_exceeds_the_room_in_two_hundred_random_sequences() {
+    (10..210).for_each(run_random);
 }
--- a/crates/owner/tests/starved.rs
+++ b/crates/owner/tests/starved.rs
@@ -1,12 +1,9 @@
-//! A filling job of which nothing runs gets a place, though it disturbs everywhere.
+//! A filler job of which nothing runs gets a worker, even if it slows serving tasks on every one.
 //!
-//! Symptom: LOST; a job whose turn has come has nothing at work while most of the room is free.
-//! Sequence: serving tasks of all workers are near their targets; the last fillers of a step end, and
-//! those of the next step find no place where they would disturb nobody.
-//! Cause: fillers wait 10 s before they go where they disturb least, also when nothing of their job runs,
-//! and then only where they keep half of their speed.
-//! Settled by: `event=waits .. reason="it would disturb serving tasks wherever there is room"` of the
-//! step's first task, and nothing of the job for 8 s.
+//! Fault: serving tasks on all workers are near their targets, the last fillers of a step end, and those of the next
+//! step find no worker on which they would slow nobody. Fillers wait 10 s before they go where they interfere least,
+//! and only where they keep half of their speed; if that also holds for a job of which nothing runs, the job stands
+//! still while most of the room is free.
 
 mod common;
 
@@ -15,15 +12,17 @@
 
 use common::{World, job, step};
 
-/// The target of serving tasks, in milliseconds, and what they tell: 0.81 of what they bear.
+/// The latency target of serving tasks, in milliseconds.
 const TARGET: u32 = 150;
+
+/// The tail latency that serving tasks report, in milliseconds: a pressure of 0.81.
 const TAIL: f64 = 130.0;
 
-/// The time within which something of a job has to run, in milliseconds: the platform allows 3 s.
-const SOON: u64 = 2_500;
+/// The time within which some task of a job has to run, in milliseconds: the platform allows 3 s.
+const START_LIMIT: u64 = 2_500;
 
-/// A world in which every worker serves, and is near its limit.
-fn busy() -> World {
+/// A world in which serving tasks on every worker are near their targets.
+fn loaded_world() -> World {
     let mut world = World::new(3, 4);
     let serving = StepSpec {
         room: Room { cpu: 6_000, mem: 4_000, accel: 0 },
@@ -57,14 +56,14 @@
 }
 
 #[test]
-fn something_of_each_job_runs_soon() {
-    let mut world = busy();
+fn each_filler_job_soon_runs_a_task() {
+    let mut world = loaded_world();
     let jobs: Vec<_> = (0..3).map(|_| world.submit(job(vec![filler(5, &[])]))).collect();
     world.run(100);
-    let none = jobs.iter().all(|&id| running(&world, id) == 0);
-    assert!(none, "they would disturb wherever there is room");
-    world.run(SOON);
+    let none_run = jobs.iter().all(|&id| running(&world, id) == 0);
+    assert!(none_run, "fillers interfere on every worker with room");
+    world.run(START_LIMIT);
     for id in jobs {
-        assert!(running(&world, id) > 0, "nothing of {id} runs");
+        assert!(running(&world, id) > 0, "no task of {id} runs");
     }
 }
--- a/crates/owner/tests/turns.rs
+++ b/crates/owner/tests/turns.rs
@@ -1,11 +1,8 @@
-//! Of lasting tasks that ran before, the one that has waited longest goes first.
+//! Of the long-running tasks that ran before, the one with the longest downtime is placed first.
 //!
-//! Symptom: LOST; tasks stopped since their workers leave wait for 16 s, while those stopped a moment ago run.
-//! Sequence: more is asked for than there is; workers leave one after the other, and others come.
-//! Cause: such tasks were placed by when their jobs came, and within a job by their numbers, so those
-//! of older jobs that were stopped later took whatever came.
-//! Settled by: 62 tasks of older jobs, stopped within the last 3 s, were `event=placed` while 34 others
-//! of younger jobs waited since 16 s before; and a job's third task, stopped 17 s after its eighth, before that.
+//! Fault: a cell is overloaded, and workers drain one after the other while others come. Such tasks were placed by the
+//! submission times of their jobs, and within a job by index, so tasks of older jobs that were stopped later took all
+//! the room that became free: tasks of younger jobs waited for 16 s, while those stopped 3 s ago ran.
 
 mod common;
 
@@ -16,74 +13,78 @@
 
 use common::{World, case, job, step};
 
-/// The time between two workers that leave, in milliseconds: it takes less to move a task.
-const BETWEEN: u64 = 2_000;
+/// The time between two workers that drain, in milliseconds: moving a task takes less.
+const INTERVAL: u64 = 2_000;
 
-/// How long a task that lasts may be without a run though there is room: 6 s from its last run, and 3 s.
-const SOON: u64 = 9_000;
+/// The longest downtime of a long-running task that fits, in milliseconds: 6 s from its last run, and 3 s.
+const MAX_DOWNTIME: u64 = 9_000;
 
-/// Lasting tasks, of which a worker has room for one.
-fn lasting(count: u16) -> StepSpec {
+/// A step of long-running tasks, of which each worker has room for one.
+fn long_running(count: u16) -> StepSpec {
     let room = Room { cpu: 24_000, mem: 1_000, accel: 0 };
     StepSpec { room, lasting: true, ..step(count) }
 }
 
 /// The worker that runs a task, if there is one.
-fn place_of(world: &World, task: TaskId) -> Option<Arc<str>> {
+fn worker_of(world: &World, task: TaskId) -> Option<Arc<str>> {
     let owner = &world.owners.last().unwrap().cell;
     let mut workers = owner.workers.iter();
-    let place = workers.find(|(_, w)| w.flights.contains_key(&task));
-    place.map(|(life, _)| life.id().clone())
+    let found = workers.find(|(_, w)| w.flights.contains_key(&task));
+    found.map(|(incarnation, _)| incarnation.id().clone())
 }
 
-/// The workers that run something of a job.
-fn places(world: &World, job: JobId) -> Vec<Arc<str>> {
+/// The workers that run tasks of a job.
+fn workers_of(world: &World, job: JobId) -> Vec<Arc<str>> {
     let tasks = (0..4).map(|index| TaskId { job, round: 0, step: 0, index });
-    tasks.filter_map(|task| place_of(world, task)).collect()
+    tasks.filter_map(|task| worker_of(world, task)).collect()
 }
 
-/// A worker says that it leaves.
-fn leave(world: &mut World, worker: &str) {
+/// Lets a worker announce that it drains.
+fn drain(world: &mut World, worker: &str) {
     world.workers.get_mut(worker).unwrap().listing.draining = true;
 }
 
-/// A worker leaves and another one comes, so there is room for one task of those that wait.
-fn relieve(world: &mut World, worker: &str, n: u16) {
-    leave(world, worker);
-    world.run(BETWEEN / 2);
+/// Replaces a worker by another one, which has room for one of the waiting tasks.
+fn replace(world: &mut World, worker: &str, n: u16) {
+    drain(world, worker);
+    world.run(INTERVAL / 2);
     world.add_worker(&format!("n{n}"), 10 + n);
-    world.run(BETWEEN / 2);
+    world.run(INTERVAL / 2);
 }
 
-case!(the_longest_wait_goes_before_the_older_job, world, {
-    let older = world.submit(job(vec![lasting(2)]));
+case!(the_longest_downtime_goes_before_the_older_job, world, {
+    let older = world.submit(job(vec![long_running(2)]));
     world.run(2_500);
-    let younger = world.submit(job(vec![lasting(2)]));
+    let younger = world.submit(job(vec![long_running(2)]));
     world.run(5_000);
-    let waiting = places(&world, younger);
-    assert_eq!((places(&world, older).len(), waiting.len()), (2, 2));
-    leave(&mut world, &waiting[0]);
-    world.run(BETWEEN);
-    assert_eq!(places(&world, younger).len(), 1, "there is no room");
-    for n in 0..(SOON / BETWEEN) as u16 {
-        let next = places(&world, older).pop().unwrap();
-        relieve(&mut world, &next, n);
+    let drained = workers_of(&world, younger);
+    assert_eq!((workers_of(&world, older).len(), drained.len()), (2, 2));
+    drain(&mut world, &drained[0]);
+    world.run(INTERVAL);
+    assert_eq!(workers_of(&world, younger).len(), 1, "there is no room");
+    for n in 0..(MAX_DOWNTIME / INTERVAL) as u16 {
+        let next = workers_of(&world, older).pop().unwrap();
+        replace(&mut world, &next, n);
     }
-    assert_eq!(places(&world, younger).len(), 2, "it is passed over again and again");
+    assert_eq!(
+        workers_of(&world, younger).len(),
+        2,
+        "the task with the longest downtime is not placed"
+    );
 });
 
-case!(the_longest_wait_goes_before_the_lower_number, world, {
-    let id = world.submit(job(vec![lasting(4)]));
+case!(the_longest_downtime_goes_before_the_lower_index, world, {
+    let id = world.submit(job(vec![long_running(4)]));
     world.run(5_000);
     let last = TaskId { job: id, round: 0, step: 0, index: 3 };
-    let worker = place_of(&world, last).unwrap();
-    leave(&mut world, &worker);
-    world.run(BETWEEN);
-    assert_eq!(place_of(&world, last), None, "there is no room");
-    for n in 0..(SOON / BETWEEN) as u16 {
+    let worker = worker_of(&world, last).unwrap();
+    drain(&mut world, &worker);
+    world.run(INTERVAL);
+    assert_eq!(worker_of(&world, last), None, "there is no room");
+    for n in 0..(MAX_DOWNTIME / INTERVAL) as u16 {
         let mut others = (0..last.index).map(|index| TaskId { index, ..last });
-        let next = others.find_map(|task| place_of(&world, task)).unwrap();
-        relieve(&mut world, &next, n);
+        let next = others.find_map(|task| worker_of(&world, task)).unwrap();
+        replace(&mut world, &next, n);
     }
-    assert!(place_of(&world, last).is_some(), "it is passed over again and again");
+    assert!(worker_of(&world, last).is_some(), "the task with the longest downtime is not placed");
 });
