--- a/crates/owner/tests/reach.rs
+++ b/crates/owner/tests/reach.rs
@@ -1,4 +1,4 @@
-//! Runs, jobs and lives of workers that an owner knows of late, twice or never.
+//! Runs, jobs and incarnations of workers of which an owner learns late, twice or never.
 
 mod common;
 
@@ -7,12 +7,10 @@
 
 use common::{case, job, step};
 
-// Symptom: a job ran though its cancellation had been answered.
-// Sequence: a job is cancelled before its record is in the log, which still comes; the owner that
-// answered is replaced before that.
-// Cause: that the job is barred was only in that owner's memory.
-// Settled by: the log holds it, as the progress of a job that is cancelled.
-case!(a_job_cancelled_before_it_is_known_never_runs_at_the_next_owner, world, {
+// Fault: a job is cancelled before its record is read, and another owner takes over before that. If only the first
+// owner's memory holds the early cancellation, the job runs though its cancellation was confirmed; so the log holds it
+// as the progress of a cancelled job.
+case!(an_early_cancellation_holds_at_the_next_owner, world, {
     let now = world.now;
     world.owner().cell.bar(JobId(1), now, now);
     world.run(50);
@@ -24,20 +22,20 @@
     assert_eq!(world.owner().cell.state(id), Some(State::Cancelled));
 });
 
-case!(a_job_that_never_comes_is_dropped_from_the_log_in_the_end, world, {
+case!(the_early_cancellation_of_a_job_that_never_comes_is_dropped_from_the_log, world, {
     let now = world.now;
     world.owner().cell.bar(JobId(1), now, now);
     assert!(!world.owner().cell.bar_logged(JobId(1)));
     assert_eq!(world.owner().cell.batch().records.len(), 1);
-    let keep = 2 * world.owner().cell.bounds.status;
-    world.owner().cell.forget(now + keep, now + keep);
+    let retention = 2 * world.owner().cell.bounds.status;
+    world.owner().cell.forget(now + retention, now + retention);
     assert_eq!(world.owner().cell.batch().records, vec![(JobId(1), vec![])]);
     assert!(world.owner().cell.bar_logged(JobId(1)));
 });
 
-// As its like in the front's tests, with what the log tells of workers: the entry that lapses late is
-// that of the life that crashed.
-case!(an_old_entry_at_the_same_address_says_nothing_of_the_later_life, world, {
+// Like a test of the front, with the log's records of workers: the entry that lapses late is that of the incarnation
+// that crashed.
+case!(an_old_entry_at_the_same_address_ends_no_run_of_the_later_incarnation, world, {
     world.run(200);
     for n in 0..4 {
         let old = format!("z{n}");
@@ -55,11 +53,9 @@
     assert!(world.judge.starts.values().all(|n| *n == 1), "{:?}", world.judge.starts);
 });
 
-// Symptom: a run of a job that was forgotten would go on for good, its lease renewed by each hold.
-// Sequence: a job leaves the owner's memory while a run of it is still at work.
-// Cause: the run was known at its worker, so that it did not count as one that nobody asked for.
-// Settled by: a run whose job is not known is stopped like one of a job that is over.
-case!(a_run_whose_job_is_forgotten_is_stopped, world, {
+// Fault: an owner forgets a job that still has an active run. If the run counts as requested because its worker lists it,
+// each lease renewal keeps it going for good; so it is stopped like a run of a job that is over.
+case!(a_run_of_a_forgotten_job_is_stopped, world, {
     let id = world.submit(job(vec![StepSpec { lasting: true, ..step(2) }]));
     world.run(1_000);
     world.owner().cell.jobs.remove(&id);
@@ -67,12 +63,11 @@
     assert!(world.workers.values().all(|w| w.count() == 0));
 });
 
-// Symptom: tasks waited for a lease of 10 s though their worker was known to be over; later, tasks ran twice.
-// Sequence: a worker crashes and another one comes to its address; the entries of both are listed, in any order.
-// Cause: first no entry was believed when a life fell silent, then every later one; but the last write of a life that
-// crashed may land after the first of the next.
-// Settled by: who answers at the address is asked, and asked again as long as nobody does.
-case!(a_life_that_falls_silent_is_over_once_another_answers_at_its_address, world, {
+// Fault: a worker crashes and another one starts at its address; the entries of both are listed, in any order, since the
+// last write of the crashed incarnation may land after the first one of the next. If no entry counts, tasks wait for a
+// lease of 10 s though their worker is gone; if every later one counts, tasks run twice. So the owner asks which
+// incarnation replies at the address, again and again until one does.
+case!(a_silent_incarnation_is_gone_once_another_replies_at_its_address, world, {
     world.submit(job(vec![StepSpec { estimate: 5_000, ..step(8) }]));
     world.run(200);
     let (now, first) = (world.now, world.life("w0"));
@@ -81,10 +76,14 @@
     let cell = &mut world.owner().cell;
     let runs = cell.workers[&first].flights.len();
     cell.list("x0", listing, now);
-    assert_eq!(cell.workers[&first].life, Life::Well, "it answers");
+    assert_eq!(cell.workers[&first].life, Life::Well, "it replies");
     cell.hold_failed(&first, now);
-    assert_eq!(cell.workers[&first].life, Life::Silent, "an entry tells nothing of it");
-    assert!(runs > 0 && cell.workers[&first].flights.len() == runs, "its runs may go on");
+    assert_eq!(
+        cell.workers[&first].life,
+        Life::Silent,
+        "an entry of another worker doesn't end it"
+    );
+    assert!(runs > 0 && cell.workers[&first].flights.len() == runs, "its runs may still be active");
     assert!(cell.hold_args(&first, now).is_some(), "it is asked again");
     cell.replaced(&first, Successor::Other, now);
     assert_eq!(cell.workers[&first].life, Life::Gone);
--- a/crates/owner/tests/wait_courses.rs
+++ b/crates/owner/tests/wait_courses.rs
@@ -1,5 +1,5 @@
-//! Drawn courses of owners that follow one another while workers crash for good, are cut off from single owners and
-//! leave in good order: what one owner has waited for must never let the next one start what still runs.
+//! Random sequences of successive owners while workers crash for good, are cut off from single owners and drain: the
+//! time that one owner has waited for a lease must never let its successor start a run that still goes on.
 
 mod common;
 
@@ -13,75 +13,75 @@
 use myrtle_job::{JobId, State, StepSpec};
 use myrtle_owner::Limbo;
 
-/// How many owners follow one another in a course.
+/// The number of changes of owner in a sequence.
 const CHANGES: u32 = 14;
 
-/// Jobs whose tasks last, of which more would not fit on the fewest workers.
-const LASTING: usize = 5;
+/// The most long-running jobs, which fit on the smallest number of workers.
+const LONG_JOBS: usize = 5;
 
-/// The time in which everything has to be at work or at its end after that, in milliseconds.
-const REST: u64 = 40_000;
+/// The time after which all tasks have to run or to have ended after the last change, in milliseconds.
+const SETTLE: u64 = 40_000;
 
-/// What the hosts of owners do.
+/// How the hosts of owners act.
 #[derive(Debug, Clone, Copy)]
 enum Hosts {
-    /// They know nothing of each other.
-    Apart,
-    /// They renew leases although another owner has followed.
+    /// They exchange nothing.
+    Isolated,
+    /// They renew leases although a successor has begun.
     Renewing,
-    /// They see owners begin, and tell the next one what they could not log.
-    Talking,
+    /// They see owners begin, and pass ends on to the next one that they could not log.
+    Connected,
 }
 
-/// A course under way.
-struct Course {
+/// A running sequence.
+struct Sequence {
     world: World,
     rng: ChaCha8Rng,
     /// Jobs that end by themselves.
     short: Vec<JobId>,
-    /// Jobs that go on.
-    lasting: Vec<JobId>,
-    /// Workers that have said when they leave.
+    /// Jobs that run until they are cancelled.
+    long_running: Vec<JobId>,
+    /// Workers that drain, and when they leave.
     leaving: Vec<(u64, Arc<str>)>,
-    /// When workers come in place of those that are gone.
-    coming: Vec<u64>,
-    /// How many workers there ever were.
-    ever: u16,
+    /// When workers start that replace lost ones.
+    starting: Vec<u64>,
+    /// The number of workers added so far.
+    added: u16,
 }
 
-impl Course {
-    /// A course with 4 to 14 workers, some of whose clocks are slow.
+impl Sequence {
+    /// A sequence with 4 to 14 workers, some of whose clocks are slow.
     fn new(seed: u64, hosts: Hosts) -> Self {
         let mut rng = ChaCha8Rng::seed_from_u64(seed);
-        let ever = rng.random_range(4..=14);
-        let mut world = World::new(seed, usize::from(ever));
+        let added = rng.random_range(4..=14);
+        let mut world = World::new(seed, usize::from(added));
         (world.renews, world.seen) = match hosts {
-            Hosts::Apart => (0, false),
+            Hosts::Isolated => (0, false),
             Hosts::Renewing => (u64::MAX, false),
-            Hosts::Talking => (0, true),
+            Hosts::Connected => (0, true),
         };
         world.faults = Faults { unanswered: 0.05, late: 0.03, queued: 0.03, outlive: false };
         world.workers.values_mut().for_each(|w| w.slow = rng.random_bool(0.5));
         world.run(1_000);
-        let (short, lasting, leaving, coming) = (vec![], vec![], vec![], vec![]);
-        Self { world, rng, short, lasting, leaving, coming, ever }
+        let (short, long_running, leaving, starting) = (vec![], vec![], vec![], vec![]);
+        Self { world, rng, short, long_running, leaving, starting, added }
     }
 
-    /// Hands in jobs of both kinds.
+    /// Submits jobs of both kinds.
     fn submit(&mut self) {
         for _ in 0..self.rng.random_range(0..4) {
             let estimate = self.rng.random_range(200..12_000);
             let spec = StepSpec { estimate, ..step(self.rng.random_range(1..8)) };
             self.short.push(self.world.submit(job(vec![spec])));
         }
-        if self.lasting.len() < LASTING && self.rng.random_bool(0.6) {
+        if self.long_running.len() < LONG_JOBS && self.rng.random_bool(0.6) {
             let spec = StepSpec { lasting: true, ..step(self.rng.random_range(1..6)) };
-            self.lasting.push(self.world.submit(job(vec![spec])));
+            self.long_running.push(self.world.submit(job(vec![spec])));
         }
     }
 
-    /// A worker that is there and has not said that it leaves.
-    fn one(&mut self) -> Option<Arc<str>> {
+    /// A random worker that neither is gone nor drains.
+    fn pick_worker(&mut self) -> Option<Arc<str>> {
         let staying = |(id, w): (&Arc<str>, &common::FakeWorker)| {
             (!w.gone && !w.listing.draining).then(|| id.clone())
         };
@@ -89,16 +89,16 @@
         up.choose(&mut self.rng).filter(|_| up.len() > 3).cloned()
     }
 
-    /// A worker crashes for good, is replaced, starts anew, or begins to leave.
-    fn strike(&mut self) {
-        let Some(id) = self.one() else {
+    /// Lets a worker crash for good, be replaced, restart, or begin to drain.
+    fn disrupt(&mut self) {
+        let Some(id) = self.pick_worker() else {
             return;
         };
         let now = self.world.now;
         match self.rng.random_range(0..5) {
             0 | 1 => {
                 self.world.vanish(&id);
-                self.coming.push(now + self.rng.random_range(500..4_000));
+                self.starting.push(now + self.rng.random_range(500..4_000));
             }
             2 => self.world.crash(&id),
             3 => self.world.restart(&id, self.rng.random_range(10..3_000)),
@@ -112,7 +112,7 @@
         }
     }
 
-    /// Cuts the newest owner off from some workers, and heals that for others.
+    /// Cuts the newest owner off from some workers, and reconnects it to others.
     fn cut(&mut self) {
         let owner = self.world.owners.len() - 1;
         for id in self.world.workers.keys().cloned().collect::<Vec<_>>() {
@@ -122,8 +122,8 @@
         }
     }
 
-    /// Another owner follows; the one before ends in good order, or goes on until it learns of it.
-    fn follow(&mut self) {
+    /// Lets another owner take over; its predecessor ends in good order, or acts on until it is deposed.
+    fn succeed(&mut self) {
         self.world.owner().awake = self.rng.random_bool(0.4);
         self.world.take_over();
         self.world.owner().logged = self.rng.random_bool(0.8);
@@ -133,7 +133,7 @@
         }
     }
 
-    /// Some earlier owners tell the newest one what they could not log.
+    /// Lets some earlier owners pass the ends that they could not log on to the newest one.
     fn pass_on(&mut self) {
         for from in 0..self.world.owners.len() - 1 {
             if self.rng.random_bool(0.3) {
@@ -142,31 +142,31 @@
         }
     }
 
-    /// Lets time pass; workers that said so leave, and others come.
-    fn pass(&mut self, millis: u64) {
+    /// Runs for a time in milliseconds; draining workers leave, and others start.
+    fn run(&mut self, millis: u64) {
         let end = self.world.now + millis;
         while self.world.now < end {
             self.world.run(common::STEP);
             let now = self.world.now;
             for (_, id) in self.leaving.extract_if(.., |(at, _)| *at <= now) {
                 self.world.vanish(&id);
-                self.coming.push(now + 1_000);
+                self.starting.push(now + 1_000);
             }
-            for _ in self.coming.extract_if(.., |at| *at <= now) {
-                self.world.add_worker(&format!("n{}", self.ever), self.ever);
-                self.ever += 1;
+            for _ in self.starting.extract_if(.., |at| *at <= now) {
+                self.world.add_worker(&format!("n{}", self.added), self.added);
+                self.added += 1;
             }
         }
     }
 
-    /// The time of an owner, with what happens in it.
+    /// Runs the term of an owner, with submissions and faults.
     fn term(&mut self) {
         let term = self.rng.random_range(100..6_000);
-        let parts = self.rng.random_range(1..4);
-        for _ in 0..parts {
+        let slices = self.rng.random_range(1..4);
+        for _ in 0..slices {
             self.submit();
             if self.rng.random_bool(0.5) {
-                self.strike();
+                self.disrupt();
             }
             if self.rng.random_bool(0.4) {
                 self.cut();
@@ -174,87 +174,87 @@
             if self.rng.random_bool(0.2) {
                 self.world.owner().logged = self.rng.random_bool(0.6);
             }
-            self.pass(term / parts);
+            self.run(term / slices);
         }
     }
 
-    /// What was broken when all trouble is over, in words.
-    fn judge(&mut self) -> Vec<String> {
-        let mut broken = std::mem::take(&mut self.world.judge.broken);
+    /// The violations once all faults are over.
+    fn check(&mut self) -> Vec<String> {
+        let mut violations = std::mem::take(&mut self.world.judge.broken);
         let now = self.world.now;
         let cell = &self.world.owners.last().unwrap().cell;
         if cell.limbo(now) != Limbo::default() {
-            broken.push(format!("at the end {}", cell.limbo(now)));
+            violations.push(format!("at the end {}", cell.limbo(now)));
         }
-        // Sound tasks are given up under which too many workers were lost.
+        // A job whose tasks lost too many workers may fail, though its tasks are sound.
         let given_up = |id: &JobId| {
             let lost = cell.jobs.get(id).is_some_and(|j| !j.progress.crashes.is_empty());
             lost && cell.state(*id) == Some(State::Failed)
         };
-        let ended = |id: &&JobId| cell.state(**id) != Some(State::Completed) && !given_up(id);
-        let short = self.short.iter().filter(ended);
-        broken.extend(short.map(|id| format!("{id} is {:?} at the end", cell.state(*id))));
-        for id in self.lasting.iter().filter(|id| !given_up(id)) {
-            let at_work = self.world.judge.alive().filter(|(task, ..)| task.job == *id).count();
+        let open = |id: &&JobId| cell.state(**id) != Some(State::Completed) && !given_up(id);
+        let short = self.short.iter().filter(open);
+        violations.extend(short.map(|id| format!("{id} is {:?} at the end", cell.state(*id))));
+        for id in self.long_running.iter().filter(|id| !given_up(id)) {
+            let running = self.world.judge.alive().filter(|(task, ..)| task.job == *id).count();
             let count = usize::from(cell.jobs[id].step(0).count);
-            if at_work != count {
-                broken.push(format!("{at_work} of {count} tasks of {id} are at work at the end"));
+            if running != count {
+                violations.push(format!("{running} of {count} tasks of {id} run at the end"));
             }
         }
-        broken
+        violations
     }
 }
 
-/// Plays a course; what was broken, in words.
-fn play(seed: u64, hosts: Hosts) -> Vec<String> {
-    let mut course = Course::new(seed, hosts);
+/// Runs one random sequence; returns the violations.
+fn run_seed(seed: u64, hosts: Hosts) -> Vec<String> {
+    let mut sequence = Sequence::new(seed, hosts);
     for _ in 0..CHANGES {
-        course.term();
-        course.follow();
+        sequence.term();
+        sequence.succeed();
     }
-    course.world.faults = Faults::default();
-    course.world.succeed();
-    course.pass(REST);
-    course.judge()
+    sequence.world.faults = Faults::default();
+    sequence.world.succeed();
+    sequence.run(SETTLE);
+    sequence.check()
 }
 
-/// Plays courses and tells which broke something.
-fn courses(seeds: std::ops::Range<u64>, hosts: Hosts) {
-    let mut red = Vec::new();
+/// Runs a random sequence for each seed; fails if any has violations.
+fn run_all(seeds: std::ops::Range<u64>, hosts: Hosts) {
+    let mut failed = Vec::new();
     for seed in seeds {
-        let broken = play(seed, hosts);
-        if let Some(first) = broken.first() {
-            println!("seed {seed}: {} broken, the first: {first}", broken.len());
-            red.push(seed);
+        let violations = run_seed(seed, hosts);
+        if let Some(first) = violations.first() {
+            println!("seed {seed}: {} violations, the first: {first}", violations.len());
+            failed.push(seed);
         }
     }
-    assert_eq!(red, Vec::<u64>::new(), "courses that broke something");
+    assert_eq!(failed, Vec::<u64>::new(), "seeds with violations");
 }
 
 #[test]
-fn in_ten_courses_of_waits_every_promise_holds() {
-    courses(0..10, Hosts::Apart);
+fn ten_random_sequences_of_lease_waits_have_no_violations() {
+    run_all(0..10, Hosts::Isolated);
 }
 
 #[test]
 #[ignore = "by hand: cargo test -p myrtle-owner --test wait_courses -- --ignored --nocapture"]
-fn in_two_hundred_courses_of_waits_every_promise_holds() {
-    courses(10..210, Hosts::Apart);
+fn two_hundred_random_sequences_of_lease_waits_have_no_violations() {
+    run_all(10..210, Hosts::Isolated);
 }
 
 #[test]
 #[ignore = "by hand: cargo test -p myrtle-owner --test wait_courses -- --ignored --nocapture"]
-fn in_two_hundred_courses_of_owners_that_renew_on_every_promise_holds() {
-    courses(10..210, Hosts::Renewing);
+fn two_hundred_random_sequences_of_owners_that_renew_leases_have_no_violations() {
+    run_all(10..210, Hosts::Renewing);
 }
 
 #[test]
-fn in_ten_courses_of_hosts_that_talk_every_promise_holds() {
-    courses(0..10, Hosts::Talking);
+fn ten_random_sequences_of_connected_hosts_have_no_violations() {
+    run_all(0..10, Hosts::Connected);
 }
 
 #[test]
 #[ignore = "by hand: cargo test -p myrtle-owner --test wait_courses -- --ignored --nocapture"]
-fn in_two_hundred_courses_of_hosts_that_talk_every_promise_holds() {
-    courses(10..210, Hosts::Talking);
+fn two_hundred_random_sequences_of_connected_hosts_have_no_violations() {
+    run_all(10..210, Hosts::Connected);
 }
