--- a/crates/owner/tests/flights.rs
+++ b/crates/owner/tests/active_runs.rs
@@ -1,4 +1,4 @@
-//! What the runs on a worker come to together follows every change.
+//! The totals of a worker's active runs follow every change.
 
 use myrtle_base::Room;
 use myrtle_job::{JobId, StepSpec, TaskId};
@@ -17,7 +17,7 @@
     }
 }
 
-/// Names a case and gives it a worker without runs.
+/// Declares a test with a worker without runs.
 macro_rules! case {
     ($name:ident, $worker:ident, $body:block) => {
         #[test]
@@ -28,7 +28,7 @@
     };
 }
 
-case!(a_run_that_comes_or_goes_counts_at_once, worker, {
+case!(a_run_that_begins_or_ends_counts_at_once, worker, {
     assert_eq!(worker.used().cpu, 0);
     worker.flights.insert(task(0), Flight::new(1, &step(false), Stage::Up, 0));
     assert_eq!((worker.used().cpu, worker.used().mem), (2_000, 100));
@@ -40,21 +40,21 @@
     assert_eq!(worker.used(), Room::default());
 });
 
-case!(a_pace_that_changes_counts_at_once, worker, {
+case!(a_changed_speed_limit_counts_at_once, worker, {
     worker.flights.insert(task(0), Flight::new(1, &step(true), Stage::Up, 0));
     assert_eq!(worker.filled(), 2_000.0);
     worker.flights.get_mut(&task(0)).unwrap().pace = 50;
     assert_eq!(worker.filled(), 1_000.0);
-    for (_, flight) in &mut worker.flights {
-        flight.pace = 10;
+    for (_, run) in &mut worker.flights {
+        run.pace = 10;
     }
     assert_eq!(worker.filled(), 200.0);
 });
 
-case!(a_lasting_run_is_known_while_it_is_there, worker, {
+case!(a_long_running_run_is_reported_while_active, worker, {
     assert!(!worker.lasts());
-    let lasting = StepSpec { lasting: true, ..step(false) };
-    worker.flights.insert(task(0), Flight::new(1, &lasting, Stage::Up, 0));
+    let long_running = StepSpec { lasting: true, ..step(false) };
+    worker.flights.insert(task(0), Flight::new(1, &long_running, Stage::Up, 0));
     assert!(worker.lasts());
     worker.flights.clear();
     assert!(!worker.lasts());
--- a/crates/owner/tests/balance.rs
+++ b/crates/owner/tests/balance.rs
@@ -1,4 +1,4 @@
-//! Lasting jobs go on to cells with more room, and exactly one cell starts their tasks.
+//! Long-running jobs are transferred to cells with more room, and exactly one cell starts their tasks.
 
 use myrtle_base::Room;
 use myrtle_job::{
@@ -9,10 +9,10 @@
 /// The number of the other cell.
 const OTHER: u32 = 1;
 
-/// The job that comes.
+/// The job that is submitted.
 const JOB: JobId = JobId(7);
 
-/// Names a case and gives it an owner of four workers of 32 cores.
+/// Declares a test with an owner of four workers of 32 cores.
 macro_rules! case {
     ($name:ident, $cell:ident, $body:block) => {
         #[test]
@@ -48,18 +48,18 @@
     cell
 }
 
-/// A job comes to its home.
-fn come(cell: &mut Cell, id: JobId, lasting: bool, now: u64) {
-    cell.admit(id, submission(lasting), now, 0);
+/// Submits a job to its home cell.
+fn submit(cell: &mut Cell, id: JobId, long_running: bool, now: u64) {
+    cell.admit(id, submission(long_running), now, 0);
     cell.settle(id, cell.number);
 }
 
-fn submission(lasting: bool) -> Submission {
+fn submission(long_running: bool) -> Submission {
     let step = StepSpec {
         count: 4,
         room: Room { cpu: 8_000, mem: 1_000, accel: 0 },
         estimate: 1_000,
-        lasting,
+        lasting: long_running,
         ..StepSpec::default()
     };
     let spec = JobSpec { body: "b".into(), steps: vec![step], repeat: None };
@@ -72,12 +72,12 @@
     Load { claimed, size: 128_000.0, free: vec![], again: vec![], soon: vec![] }
 }
 
-/// A cell four times as large, without lasting tasks.
+/// The load of a cell four times as large, without long-running tasks.
 fn roomy() -> Load {
     Load { claimed: 0.0, size: 512_000.0, free: vec![], again: vec![], soon: vec![] }
 }
 
-/// Plans and writes once; the progress of the job that was written, and the starts.
+/// Plans and writes once; returns the progress written for the job, and the starts.
 fn write(cell: &mut Cell) -> (Option<Progress>, Vec<Order>) {
     write_at(cell, 10)
 }
@@ -90,11 +90,11 @@
     (progress, cell.committed(batch, now))
 }
 
-case!(a_lasting_job_goes_to_a_cell_with_more_room, cell, {
+case!(a_long_running_job_is_transferred_to_a_cell_with_more_room, cell, {
     cell.hear(OTHER, roomy(), 10);
-    come(&mut cell, JOB, true, 10);
+    submit(&mut cell, JOB, true, 10);
     cell.plan(10);
-    assert_eq!(cell.deliveries(), vec![], "not before its home has written that");
+    assert_eq!(cell.deliveries(), vec![], "not before its home cell has written the transfer");
     let (progress, starts) = write(&mut cell);
     assert_eq!(starts, vec![]);
     assert_eq!(progress.unwrap().moved.unwrap().to, OTHER);
@@ -108,19 +108,19 @@
     assert_eq!(cell.deliveries(), vec![]);
 });
 
-case!(the_next_owner_delivers_what_the_last_one_may_not_have, cell, {
+case!(the_successor_delivers_a_transfer_that_may_not_have_arrived, cell, {
     cell.hear(OTHER, roomy(), 10);
-    come(&mut cell, JOB, true, 10);
+    submit(&mut cell, JOB, true, 10);
     let progress = write(&mut cell).0.unwrap();
     let mut next = owner(2);
-    come(&mut next, JOB, true, 20);
+    submit(&mut next, JOB, true, 20);
     next.inherit(JOB, progress, 20);
     assert_eq!(write(&mut next).1, vec![], "only the other cell starts it");
     assert_eq!(next.deliveries().len(), 1);
     next.delivered(Key::Job(JOB));
     let progress = write(&mut next).0.unwrap();
     let mut last = owner(3);
-    come(&mut last, JOB, true, 30);
+    submit(&mut last, JOB, true, 30);
     last.inherit(JOB, progress, 30);
     assert_eq!(last.deliveries(), vec![]);
     assert_eq!(write(&mut last).1, vec![]);
@@ -128,7 +128,7 @@
 
 case!(a_job_that_has_begun_stays, cell, {
     cell.hear(OTHER, load(32_000.0), 10);
-    come(&mut cell, JOB, true, 10);
+    submit(&mut cell, JOB, true, 10);
     assert_eq!(write(&mut cell).1.len(), 4);
     cell.hear(OTHER, roomy(), 10);
     cell.plan(20);
@@ -137,59 +137,59 @@
 
 case!(a_short_job_stays, cell, {
     cell.hear(OTHER, roomy(), 10);
-    come(&mut cell, JOB, false, 10);
+    submit(&mut cell, JOB, false, 10);
     assert_eq!(write(&mut cell).1.len(), 4);
     assert_eq!(cell.moved(JOB), None);
 });
 
-case!(a_cell_that_is_as_full_gets_nothing, cell, {
+case!(nothing_is_transferred_to_a_cell_that_is_as_full, cell, {
     cell.hear(OTHER, load(32_000.0), 10);
-    come(&mut cell, JOB, true, 10);
+    submit(&mut cell, JOB, true, 10);
     assert_eq!(cell.moved(JOB), None);
     assert_eq!(write(&mut cell).1.len(), 4);
 });
 
-case!(what_was_told_long_ago_or_without_workers_does_not_count, cell, {
+case!(loads_that_are_old_or_without_workers_are_ignored, cell, {
     cell.hear(OTHER, roomy(), 10);
     cell.hear(2, Load::default(), 9_000);
-    come(&mut cell, JOB, true, 9_000);
+    submit(&mut cell, JOB, true, 9_000);
     assert_eq!(write_at(&mut cell, 9_000).1.len(), 4);
     assert_eq!(cell.moved(JOB), None);
 });
 
-case!(a_new_owner_waits_a_moment_for_what_other_cells_tell, cell, {
-    come(&mut cell, JOB, true, 10);
+case!(a_new_owner_waits_for_the_loads_of_other_cells, cell, {
+    submit(&mut cell, JOB, true, 10);
     assert_eq!(write_at(&mut cell, 500).1, vec![]);
     cell.hear(OTHER, roomy(), 600);
     write_at(&mut cell, 610);
     assert_eq!(cell.moved(JOB), Some(OTHER));
 });
 
-case!(a_new_owner_that_hears_nothing_keeps_the_job, cell, {
-    come(&mut cell, JOB, true, 10);
+case!(a_new_owner_that_receives_no_load_keeps_the_job, cell, {
+    submit(&mut cell, JOB, true, 10);
     assert_eq!(write_at(&mut cell, 500).1, vec![]);
     assert_eq!(write_at(&mut cell, 1_100).1.len(), 4);
 });
 
-case!(a_job_of_another_home_stays_where_it_was_handed_on_to, cell, {
+case!(a_job_that_was_transferred_is_not_transferred_again, cell, {
     cell.hear(OTHER, roomy(), 10);
     cell.admit(JOB, submission(true), 10, 0);
     assert_eq!(write(&mut cell).1.len(), 4);
     assert_eq!(cell.moved(JOB), None);
 });
 
-case!(jobs_that_come_at_once_do_not_all_go_to_the_same_cell, cell, {
+case!(jobs_submitted_at_once_are_spread_over_cells, cell, {
     cell.hear(1, load(0.0), 10);
     cell.hear(2, load(0.0), 10);
-    (0..9).for_each(|n| come(&mut cell, JobId(100 + n), true, 10));
+    (0..9).for_each(|n| submit(&mut cell, JobId(100 + n), true, 10));
     cell.plan(10);
-    let to = |cell_number| (0..9).filter(|n| cell.moved(JobId(100 + n)) == cell_number).count();
+    let to = |number| (0..9).filter(|n| cell.moved(JobId(100 + n)) == number).count();
     assert_eq!((to(None), to(Some(1)), to(Some(2))), (3, 3, 3));
 });
 
-case!(a_job_that_is_over_elsewhere_is_forgotten, cell, {
+case!(a_transferred_job_that_is_over_is_forgotten, cell, {
     cell.hear(OTHER, roomy(), 10);
-    come(&mut cell, JOB, true, 10);
+    submit(&mut cell, JOB, true, 10);
     write(&mut cell);
     cell.delivered(Key::Job(JOB));
     let later = 3 * Bounds::default().status;
@@ -200,15 +200,15 @@
 });
 
 #[test]
-fn progress_written_before_jobs_were_handed_on_is_read() {
+fn progress_written_before_transfers_existed_is_read() {
     let new = myrtle_job::encode(&Progress::default());
-    // The last byte says that no workers were lost, the three before it that no tasks were handed on or
-    // taken over and that the cell is no guest, and the one before them that no other cell looks after
-    // the job.
+    // The last byte says that no workers were lost, the three before it that there are no outgoing and no
+    // incoming transfers and that the cell is no guest, and the one before them that the job was not
+    // transferred as a whole.
     let uncounted = &new[..new.len() - 1];
     assert_eq!(Progress::read(uncounted).unwrap(), Progress::default());
-    let unhanded = &new[..new.len() - 4];
-    assert_eq!(Progress::read(unhanded).unwrap(), Progress::default());
+    let untransferred = &new[..new.len() - 4];
+    assert_eq!(Progress::read(untransferred).unwrap(), Progress::default());
     let old = &new[..new.len() - 5];
     assert_eq!(Progress::read(old).unwrap(), Progress::default());
     assert!(Progress::read(&old[..old.len() - 1]).is_err());
--- a/crates/owner/tests/common/act.rs
+++ b/crates/owner/tests/common/act.rs
@@ -1,4 +1,4 @@
-//! What owners do in each step of the world.
+//! What owners do in each step of the simulation.
 
 use std::sync::Arc;
 
@@ -10,11 +10,11 @@
 
 use super::{STEP, World};
 
-/// Steps between two holds of a worker.
-const HOLD_EVERY: u64 = 8;
+/// Steps between two lease renewals of a worker.
+const RENEW_EVERY: u64 = 8;
 
 impl World {
-    /// Lets an owner do what is due.
+    /// Runs one step of an owner: listings, lease renewals, planning, orders and the write.
     pub(super) fn act(&mut self, at: usize) {
         let now = self.now;
         if !self.owners[at].logged {
@@ -34,8 +34,8 @@
                 self.owners[at].cell.unlist(id, now);
             }
         }
-        if (now / STEP).is_multiple_of(HOLD_EVERY) {
-            self.hold_all(at);
+        if (now / STEP).is_multiple_of(RENEW_EVERY) {
+            self.renew_all(at);
             let cell = &mut self.owners[at].cell;
             cell.lapse(now);
             cell.evacuate(now);
@@ -48,16 +48,16 @@
         }
         self.owners[at].cell.plan(now);
         for question in self.owners[at].cell.questions() {
-            let good = question.workers.iter().filter(|w| self.permitted.contains(&&**w.id()));
-            let good = good.map(|w| (w.clone(), "t".to_string())).collect();
-            self.owners[at].cell.answered(&question, Some(good), now, now);
+            let permitted = question.workers.iter().filter(|w| self.permitted.contains(&&**w.id()));
+            let permitted = permitted.map(|w| (w.clone(), "t".to_string())).collect();
+            self.owners[at].cell.answered(&question, Some(permitted), now, now);
         }
         let orders = self.owners[at].cell.orders();
         self.send_all(at, orders);
         self.commit(at);
     }
 
-    /// Writes what an owner knows, unless it is cut off or deposed.
+    /// Writes an owner's state to the log, unless the owner is cut off from it or deposed.
     fn commit(&mut self, at: usize) {
         let now = self.now;
         let current = self.fence;
@@ -78,73 +78,74 @@
         for (id, bytes) in &batch.records {
             self.progress.insert(*id, bytes.clone());
         }
-        for (life, record) in &batch.traces {
+        for (incarnation, record) in &batch.traces {
             if record.is_empty() {
-                self.traces.remove(life);
+                self.traces.remove(incarnation);
             } else {
-                self.traces.insert(life.clone(), record.clone());
+                self.traces.insert(incarnation.clone(), record.clone());
             }
         }
         let starts = owner.cell.committed(batch, now);
         self.send_all(at, starts);
     }
 
-    /// Whether an owner's host lets it renew leases: it does so for a while after another owner has followed.
+    /// Whether an owner's host lets it renew leases, which goes on for a while after a successor has begun.
     fn renews(&self, at: usize) -> bool {
         let followed = self.owners[at].followed;
         followed.is_none_or(|since| self.now < since.saturating_add(self.renews))
     }
 
-    /// Holds every worker for an owner.
-    fn hold_all(&mut self, at: usize) {
+    /// Renews the lease of every worker for an owner.
+    fn renew_all(&mut self, at: usize) {
         let now = self.now;
         let renews = self.renews(at);
         let known = self.owners[at].cell.workers.iter().filter(|(_, w)| w.listing.is_some());
-        for life in known.map(|(life, _)| life.clone()).collect::<Vec<_>>() {
-            let Some(args) = self.owners[at].cell.hold_args(&life, now) else {
+        for incarnation in known.map(|(incarnation, _)| incarnation.clone()).collect::<Vec<_>>() {
+            let Some(args) = self.owners[at].cell.hold_args(&incarnation, now) else {
                 continue;
             };
-            if !self.reaches(at, &life) {
-                self.owners[at].cell.hold_failed(&life, now);
+            if !self.reaches(at, &incarnation) {
+                self.owners[at].cell.hold_failed(&incarnation, now);
                 continue;
             }
-            if let Some(by) = self.successor(&life) {
-                self.replace(at, &life, by);
+            if let Some(by) = self.successor(&incarnation) {
+                self.replace(at, &incarnation, by);
                 continue;
             }
             let until = args.until.filter(|_| renews);
-            let Some(worker) = self.workers.get_mut(life.id()) else {
+            let Some(worker) = self.workers.get_mut(incarnation.id()) else {
                 continue;
             };
             match worker.hold(args.fence, args.seen, until, now, &mut self.judge) {
-                Ok(held) => self.owners[at].cell.held(&life, held, now - 1, now, now),
+                Ok(held) => self.owners[at].cell.held(&incarnation, held, now - 1, now, now),
                 Err(_) => self.owners[at].deposed = true,
             }
         }
     }
 
-    /// Who answers where an incarnation did, if it is gone.
-    fn successor(&self, life: &Incarnation) -> Option<Successor> {
-        let worker = self.workers.get(life.id()).filter(|w| !w.gone);
+    /// What answers at the address of an incarnation that is gone.
+    fn successor(&self, incarnation: &Incarnation) -> Option<Successor> {
+        let worker = self.workers.get(incarnation.id()).filter(|w| !w.gone);
         let Some(worker) = worker else {
             return Some(Successor::Other);
         };
         let start = worker.listing.start;
-        (start != life.start()).then_some(Successor::Restarted(start))
+        (start != incarnation.start()).then_some(Successor::Restarted(start))
     }
 
-    /// An owner greets an incarnation on a new connection, and another one answers; it takes the owner's token.
-    fn replace(&mut self, at: usize, life: &Incarnation, by: Successor) {
+    /// Handles a connection on which another incarnation answers; that one accepts the owner's fencing token.
+    fn replace(&mut self, at: usize, incarnation: &Incarnation, by: Successor) {
         let (now, fence) = (self.now, self.owners[at].cell.fence);
         if matches!(by, Successor::Restarted(_))
-            && let Some(worker) = self.workers.get_mut(life.id())
+            && let Some(worker) = self.workers.get_mut(incarnation.id())
             && worker.hold(fence, 0, None, now, &mut self.judge).is_err()
         {
             self.owners[at].deposed = true;
         }
-        self.owners[at].cell.replaced(life, by, now);
+        self.owners[at].cell.replaced(incarnation, by, now);
     }
 
+    /// Sends orders, some of them only after a delay at the host.
     fn send_all(&mut self, at: usize, orders: Vec<Order>) {
         for order in orders {
             if self.rng.random_bool(self.faults.queued) {
@@ -156,7 +157,7 @@
         }
     }
 
-    /// Sends orders that a busy host has kept for a while, if they still stand.
+    /// Sends orders that a busy host has delayed, if they are still valid.
     pub(super) fn queued_orders(&mut self) {
         let now = self.now;
         let (due, rest): (Vec<_>, Vec<_>) =
@@ -170,7 +171,7 @@
         }
     }
 
-    /// Sends an order, with what may go wrong.
+    /// Sends an order, subject to the configured faults.
     fn send(&mut self, at: usize, order: Order) {
         let now = self.now;
         let id = order.worker().clone();
@@ -179,38 +180,38 @@
         let until = self.owners[at].cell.until(&id, now).filter(|_| leases);
         let start = matches!(order, Order::Start { .. });
         if !self.reaches(at, &id) || (start && until.is_none()) {
-            return self.tell(at, &order, Outcome::Unsent);
+            return self.report(at, &order, Outcome::Unsent);
         }
         let until = until.unwrap_or_default();
         let draw: f64 = self.rng.random();
         if draw < self.faults.late {
             let due = now + self.rng.random_range(2_000..12_000);
             self.late.push((due, fence, until, order.clone()));
-            return self.tell(at, &order, Outcome::Unknown);
+            return self.report(at, &order, Outcome::Unknown);
         }
-        if start && self.in_emptied(id.id()) {
-            self.judge.broken.push(format!("{now}: {order:?} though its data centre is emptied"));
+        if start && self.in_evacuated(id.id()) {
+            self.judge.broken.push(format!("{now}: {order:?} though its data centre is evacuated"));
         }
         let outcome = self.carry_out(&order, fence, until);
         let lost = draw < self.faults.late + self.faults.unanswered;
-        self.tell(at, &order, if lost { Outcome::Unknown } else { outcome });
+        self.report(at, &order, if lost { Outcome::Unknown } else { outcome });
     }
 
-    /// Lets a worker carry out an order.
+    /// Executes an order if its worker still has the same incarnation.
     fn carry_out(&mut self, order: &Order, fence: u64, until: u64) -> Outcome {
         if let Some(by) = self.successor(order.worker()) {
             return Outcome::Replaced(by);
         }
-        self.obey(order, fence, until)
+        self.execute(order, fence, until)
     }
 
-    /// Lets whoever is there carry out an order.
-    fn obey(&mut self, order: &Order, fence: u64, until: u64) -> Outcome {
+    /// Executes an order on the current incarnation of its worker.
+    fn execute(&mut self, order: &Order, fence: u64, until: u64) -> Outcome {
         let now = self.now;
         let Some(worker) = self.workers.get_mut(order.worker().id()).filter(|w| !w.gone) else {
             return Outcome::Unknown;
         };
-        let told = match order {
+        let reply = match order {
             Order::Start { task, run, .. } => {
                 let spec = self.judge.step(*task).clone();
                 worker.start(*task, *run, &spec, (fence, until), now, &mut self.judge)
@@ -218,11 +219,11 @@
             Order::Stop { task, run, .. } => worker.stop(*task, *run, fence, &mut self.judge),
             Order::Pace { task, run, percent, .. } => worker.pace(*task, *run, *percent, fence),
         };
-        Outcome::Told(told)
+        Outcome::Told(reply)
     }
 
-    /// Tells an owner what came of an order.
-    fn tell(&mut self, at: usize, order: &Order, outcome: Outcome) {
+    /// Reports the outcome of an order to its owner.
+    fn report(&mut self, at: usize, order: &Order, outcome: Outcome) {
         let now = self.now;
         let cell = &mut self.owners[at].cell;
         let fenced = match order {
@@ -240,7 +241,7 @@
         self.owners[at].deposed |= fenced;
     }
 
-    /// Carries out orders that were on the way for long.
+    /// Executes orders that were delayed in the network.
     pub(super) fn late_orders(&mut self) {
         let now = self.now;
         let (due, rest): (Vec<_>, Vec<_>) =
@@ -248,22 +249,22 @@
         self.late = rest;
         for (_, fence, until, order) in due {
             match self.faults.outlive {
-                true => self.obey(&order, fence, until),
+                true => self.execute(&order, fence, until),
                 false => self.carry_out(&order, fence, until),
             };
         }
     }
 
-    /// Whether an owner reaches a worker, or whoever is at its address by now.
-    fn reaches(&self, at: usize, life: &Incarnation) -> bool {
-        let Some(worker) = self.workers.get(life.id()) else {
+    /// Whether an owner reaches a worker, or the one that has its address now.
+    fn reaches(&self, at: usize, incarnation: &Incarnation) -> bool {
+        let Some(worker) = self.workers.get(incarnation.id()) else {
             return false;
         };
         let address = worker.listing.address;
         let mut others = self.workers.iter().filter(|(_, w)| w.listing.address == address);
         let next = others.find(|(_, w)| !w.gone).filter(|_| worker.gone);
-        let (id, worker) = next.unwrap_or((life.id(), worker));
+        let (id, worker) = next.unwrap_or((incarnation.id(), worker));
         let cut = |id| self.cuts.get(&(at, Arc::clone(id))).copied().unwrap_or(false);
-        worker.reachable && !cut(life.id()) && !cut(id)
+        worker.reachable && !cut(incarnation.id()) && !cut(id)
     }
 }
--- a/crates/owner/tests/common/crash.rs
+++ b/crates/owner/tests/common/crash.rs
@@ -1,23 +1,23 @@
-//! Workers that crash, by a task or by themselves, and come back as other lives.
+//! Workers that crash, because of a task or at random, and come back as other incarnations.
 
 use std::sync::Arc;
 
 use super::World;
 
-/// How long a crashed worker is away, in milliseconds.
-const AWAY: u64 = 3_200;
+/// How long a crashed worker is down, in milliseconds.
+const DOWNTIME: u64 = 3_200;
 
-/// As what a crashed worker comes back.
+/// The identity with which a crashed worker comes back.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) enum Back {
     /// Under another id.
     Other,
-    /// Under its id, with another start.
+    /// Under its id, with another start time.
     Same,
 }
 
 impl World {
-    /// Crashes the workers on which a culprit has worked for long enough.
+    /// Crashes the workers on which a crashing task has run for its delay.
     pub(super) fn crash_by_tasks(&mut self) {
         let culprits = &self.culprits;
         let up = self.workers.iter().filter(|(_, w)| !w.gone);
@@ -28,48 +28,49 @@
         }
     }
 
-    /// A worker crashes without a word; its entry stays until another life is at its address.
+    /// Crashes a worker without notice; its entry stays until another incarnation has its address.
     pub fn crash(&mut self, id: &Arc<str>) {
-        self.go_down(id, AWAY, Back::Other);
+        self.go_down(id, DOWNTIME, Back::Other);
     }
 
-    /// A worker crashes without a word and starts again under its id after a while; its entry stays until then.
-    pub fn restart(&mut self, id: &Arc<str>, away: u64) {
-        self.go_down(id, away, Back::Same);
+    /// Crashes a worker, which restarts under its id after `downtime` ms; its entry stays until then.
+    pub fn restart(&mut self, id: &Arc<str>, downtime: u64) {
+        self.go_down(id, downtime, Back::Same);
     }
 
-    /// A worker crashes without a word and its entry goes with it; nothing answers there ever again.
+    /// Crashes a worker and removes its entry; nothing answers at its address afterwards.
     pub fn vanish(&mut self, id: &Arc<str>) {
-        if self.fall_silent(id)
+        if self.take_down(id)
             && let Some(worker) = self.workers.get_mut(id)
         {
             worker.listed = false;
         }
     }
 
-    fn go_down(&mut self, id: &Arc<str>, away: u64, back: Back) {
-        if self.fall_silent(id) {
-            self.down.push((self.now + away, id.clone(), back));
+    /// Crashes a worker and schedules its return.
+    fn go_down(&mut self, id: &Arc<str>, downtime: u64, back: Back) {
+        if self.take_down(id) {
+            self.down.push((self.now + downtime, id.clone(), back));
         }
     }
 
-    /// A worker crashes and its entry stays; false if it was gone before.
-    fn fall_silent(&mut self, id: &Arc<str>) -> bool {
+    /// Crashes a worker and keeps its entry; false if the worker was already gone.
+    fn take_down(&mut self, id: &Arc<str>) -> bool {
         let Some(worker) = self.workers.get_mut(id).filter(|w| !w.gone) else {
             return false;
         };
-        let lost = worker.tasks();
+        let tasks = worker.tasks();
         worker.crash(&mut self.judge);
         worker.reachable = false;
         worker.listed = true;
         let judge = &mut self.judge;
-        for step in lost.into_iter().filter(|task| judge.step(*task).gang).collect::<Vec<_>>() {
+        for step in tasks.into_iter().filter(|task| judge.step(*task).gang).collect::<Vec<_>>() {
             self.workers.values_mut().for_each(|w| w.break_off(step, judge));
         }
         true
     }
 
-    /// The list shows the entry of a worker that is gone as its newest.
+    /// Lists a worker that is gone as if its entry had just been written.
     pub fn relist(&mut self, id: &str) {
         let now = self.now;
         if let Some(worker) = self.workers.get_mut(id) {
@@ -78,14 +79,14 @@
         }
     }
 
-    /// The list shows a worker that is gone no more.
+    /// Removes the entry of a worker that is gone.
     pub fn unlist(&mut self, id: &str) {
         if let Some(worker) = self.workers.get_mut(id).filter(|w| w.gone) {
             worker.listed = false;
         }
     }
 
-    /// Crashed workers come back.
+    /// Brings crashed workers back whose downtime is over.
     pub(super) fn come_back(&mut self) {
         let (due, rest): (Vec<_>, Vec<_>) =
             std::mem::take(&mut self.down).into_iter().partition(|(at, ..)| *at <= self.now);
--- a/crates/owner/tests/common/jobs.rs
+++ b/crates/owner/tests/common/jobs.rs
@@ -1,9 +1,9 @@
-//! Jobs and policies as most tests need them.
+//! Default jobs and policies for tests.
 
 use myrtle_base::Room;
 use myrtle_job::{Ended, How, JobSpec, Policy, StepSpec, TaskId};
 
-/// A queue's policy as most tests need it.
+/// The policy of a queue with three attempts per task.
 pub fn policy() -> Policy {
     Policy {
         queue: "q".into(),
@@ -25,12 +25,12 @@
     }
 }
 
-/// A job of some steps.
+/// A job of these steps, which runs once.
 pub fn job(steps: Vec<StepSpec>) -> JobSpec {
     JobSpec { body: "b".into(), steps, repeat: None }
 }
 
-/// The end of a run, for tests that make their own reports.
+/// The reported end of a run, without a checkpoint.
 pub fn ended(number: u64, task: TaskId, run: u32, how: How) -> Ended {
     Ended { number, task, run, how, saved: String::new() }
 }
--- a/crates/owner/tests/common/mod.rs
+++ b/crates/owner/tests/common/mod.rs
@@ -1,6 +1,6 @@
-//! A small world in virtual time: workers, a log and owners, with faults on purpose.
+//! A simulation of workers, a log and owners in virtual time, with injected faults.
 //!
-//! The real owner decides; the world judges what workers see.
+//! The owners run the real code; the simulation checks the runs that workers see.
 
 #![allow(dead_code, reason = "each test file uses a part of it")]
 
@@ -28,7 +28,7 @@
 pub use judge::Judge;
 pub use worker::FakeWorker;
 
-/// Names a case and gives it a world of four workers.
+/// Declares a test with a world of four workers, in which no guarantee may be violated.
 #[allow(unused_macros, reason = "each test file uses a part of the module")]
 macro_rules! case {
     ($(#[$doc:meta])* $name:ident, $world:ident, $body:block) => {
@@ -46,39 +46,39 @@
 #[allow(unused_imports, reason = "each test file uses a part of the module")]
 pub(crate) use case;
 
-/// The time of day at which the world begins, in milliseconds since 1970; hosts' clocks may be set back by less.
+/// The time of day at which the world begins, in milliseconds since 1970; larger than any `set_back`.
 const EPOCH: u64 = 1_000_000;
 
 /// The length of one step of the world, in milliseconds.
 pub const STEP: u64 = 10;
 
-/// What goes wrong with orders, each as a share of them.
+/// The faults of orders, each as the share of orders that it affects.
 #[derive(Debug, Clone, Copy, Default)]
 pub struct Faults {
-    /// Carried out, but the answer is lost.
+    /// Executed, but the reply is lost.
     pub unanswered: f64,
-    /// Carried out 2 to 12 s later, without an answer.
+    /// Executed 2 to 12 s later, without a reply.
     pub late: f64,
-    /// Kept 0 to 6 s at the owner's host before they are sent.
+    /// Delayed by 0 to 6 s at the owner's host before they are sent.
     pub queued: f64,
-    /// Whether what is carried out late may reach the next incarnation of its worker.
+    /// Whether a late order may reach the next incarnation of its worker.
     pub outlive: bool,
 }
 
-/// One owner and what it has under way.
+/// An owner and its state in the simulation.
 pub struct Owner {
     pub cell: Cell,
     pub deposed: bool,
     /// Whether it reaches the log.
     pub logged: bool,
-    /// Whether it runs at all.
+    /// Whether it runs; false if it is suspended or ended.
     pub awake: bool,
-    /// When another one followed it.
+    /// When its successor began.
     pub followed: Option<u64>,
     batch: Option<Batch>,
 }
 
-/// What a worker of 32 cores says of itself.
+/// The listing of a worker of 32 cores.
 pub fn listing(address: u16) -> Listing {
     Listing {
         service: "s".into(),
@@ -95,7 +95,7 @@
     }
 }
 
-/// The whole world.
+/// The simulated workers, owners and log.
 pub struct World {
     pub now: u64,
     pub workers: BTreeMap<Arc<str>, FakeWorker>,
@@ -105,42 +105,42 @@
     pub rng: ChaCha8Rng,
     /// Workers that a queue with advice may use.
     pub permitted: Vec<&'static str>,
-    /// Tasks that crash each worker that starts them, and for how long they work before that.
+    /// Tasks that crash each worker that runs them, and how long they run before that, in milliseconds.
     pub culprits: BTreeMap<TaskId, u64>,
-    /// Workers that crashed, by the task that was the cause.
+    /// The number of workers that each task has crashed.
     pub crashes: BTreeMap<TaskId, u32>,
-    /// What the list shows in place of newer entries, and until when.
+    /// Outdated entries that the list shows in place of newer ones, and until when.
     pub stale: BTreeMap<Arc<str>, (u64, Listing)>,
-    /// Whether entries tell no start of their workers.
+    /// Whether entries lack the start time of their workers.
     pub untold: bool,
-    /// Whether entries are read in any order, not in that of their ids.
+    /// Whether entries are read in random order, not in that of their ids.
     pub shuffled: bool,
-    /// For how long an owner that another one has followed renews leases without knowing of it, in milliseconds: its
-    /// host does so only while the store has confirmed the ownership lately.
+    /// For how long an owner renews leases after its successor began, in milliseconds: a host does so only while the
+    /// store has recently confirmed the ownership.
     pub renews: u64,
-    /// By how much the clocks of hosts are set back whose workers start from now on, in milliseconds.
+    /// By how much the clocks of workers that start from now on are set back, in milliseconds.
     pub set_back: u64,
-    /// Data centres that are being emptied.
-    emptied: BTreeSet<String>,
-    /// Whether every host sees each owner begin; they know nothing of each other unless it is set. Hosts of such a
-    /// kind let owners that were followed give no lease with a start either.
+    /// Data centres that are being evacuated.
+    evacuated: BTreeSet<String>,
+    /// Whether every owner is informed of each owner that begins, and starts carry no lease either once the owner
+    /// may not renew leases.
     pub seen: bool,
-    /// When owners began, by their fencing tokens.
+    /// When each owner began, by its fencing token.
     began: BTreeMap<u64, u64>,
-    /// Owners that have read the log, which says so before they give leases out.
+    /// The fencing tokens of owners that have read the log, as recorded there before they grant leases.
     claimed: BTreeSet<u64>,
-    /// Crashed workers, when something is at their address again, and as what.
+    /// Crashed workers: when one is at their address again, and with which identity.
     down: Vec<(u64, Arc<str>, Back)>,
     jobs: BTreeMap<JobId, Submission>,
     progress: BTreeMap<JobId, Vec<u8>>,
-    /// What the log holds of workers.
+    /// The records of workers in the log.
     pub traces: BTreeMap<Incarnation, Vec<u8>>,
     fence: u64,
-    /// Orders that are carried out late: when, under which token and lease, by which process.
+    /// Orders that are executed late: when, and with which fencing token and lease.
     late: Vec<(u64, u64, u64, Order)>,
-    /// Orders that a host keeps: when they are sent, whose they are.
+    /// Orders that a host delays: when they are sent, and the index of their owner.
     queued: Vec<(u64, usize, Order)>,
-    /// Which owner reaches which worker; everybody unless named here.
+    /// Whether an owner is cut off from a worker; it is not unless listed here.
     cuts: HashMap<(usize, Arc<str>), bool>,
     next: u64,
 }
@@ -163,7 +163,7 @@
             shuffled: false,
             renews: u64::MAX,
             set_back: 0,
-            emptied: BTreeSet::new(),
+            evacuated: BTreeSet::new(),
             seen: false,
             began: BTreeMap::new(),
             claimed: BTreeSet::new(),
@@ -184,52 +184,53 @@
         world
     }
 
-    /// Adds a worker at an address; the same address twice is another one that replaces it, the same id too is
-    /// its next incarnation.
+    /// Adds a worker at an address; it replaces the one at the same address, and with the same id it is the next
+    /// incarnation of that one.
     pub fn add_worker(&mut self, id: &str, address: u16) {
         let start = EPOCH + self.now - self.set_back;
         let listing = Listing { written: self.now, start, ..listing(address) };
         self.workers.insert(id.into(), FakeWorker::new(listing, self.now));
     }
 
-    /// The incarnation of a worker that is there now.
+    /// The current incarnation of a worker.
     pub fn life(&self, id: &str) -> Incarnation {
         Incarnation::new(id, self.workers[id].listing.start)
     }
 
-    /// A new owner reads the log; earlier ones go on until they learn of it.
+    /// Starts a new owner, which reads the log; earlier ones go on until they are deposed.
     pub fn take_over(&mut self) -> usize {
         self.read_log(self.now, |_, _| {})
     }
 
-    /// An owner begins, which bars the others from the log, and ends before it has read that.
+    /// Starts an owner, which fences the others off from the log, and ends before it has read it.
     pub fn pass_by(&mut self) {
         self.fence += 1;
         self.began.insert(self.fence, self.now);
     }
 
-    /// A new owner that began earlier bars the others from the log only now, and reads it.
+    /// Starts a new owner that began earlier but fences the others off from the log only now, and reads it.
     pub fn take_over_since(&mut self, began: u64) -> usize {
         self.read_log(began, |_, _| {})
     }
 
-    /// A new owner to which something comes once it knows the jobs and not yet their progress.
+    /// Starts a new owner and runs `meanwhile` after it has read the jobs and before it reads their progress.
     pub fn take_over_while(&mut self, meanwhile: impl FnOnce(&mut Cell, u64)) -> usize {
         self.read_log(self.now, meanwhile)
     }
 
+    /// Starts an owner from the log.
     fn read_log(&mut self, began: u64, meanwhile: impl FnOnce(&mut Cell, u64)) -> usize {
         self.fence += 1;
         let mut cell = Cell::new(Bounds::default(), self.fence, began);
-        cell.empty_centres(&self.emptied);
+        cell.empty_centres(&self.evacuated);
         self.began.insert(self.fence, began);
         if self.seen {
             cell.ended = self.began.clone();
             self.claimed.iter().for_each(|&fence| cell.note_owner(fence));
         }
         self.claimed.insert(self.fence);
-        for (life, record) in &self.traces {
-            cell.recall_worker(life, record, self.now).unwrap();
+        for (incarnation, record) in &self.traces {
+            cell.recall_worker(incarnation, record, self.now).unwrap();
         }
         for (&id, submission) in &self.jobs {
             cell.admit(id, submission.clone(), self.now, self.now);
@@ -247,19 +248,19 @@
         if let Some(last) = self.owners.last_mut() {
             last.followed = last.followed.or(Some(began));
         }
-        let fresh =
+        let owner =
             Owner { cell, deposed: false, logged: true, awake: true, followed: None, batch: None };
-        self.owners.push(fresh);
+        self.owners.push(owner);
         self.owners.len() - 1
     }
 
-    /// The owner ends once its last batch was taken in, and another one reads the log.
+    /// Ends the owner between two steps and starts its successor.
     pub fn succeed(&mut self) -> usize {
         self.owner().awake = false;
         self.take_over()
     }
 
-    /// An earlier owner tells the newest one what it has heard and could not log.
+    /// Passes the run ends that an earlier owner received and could not log on to the newest owner.
     pub fn pass_on(&mut self, from: usize) {
         let ends = self.owners[from].cell.unlogged().to_vec();
         let now = self.now;
@@ -271,26 +272,29 @@
         self.owners.last_mut().unwrap()
     }
 
-    /// Lets the log name workers by their ids only, as it did before starts were told.
+    /// Removes the start times of workers from the log, as it was written before they existed.
     pub fn forget_starts(&mut self) {
-        let untold = |life: &Incarnation| life.started(0);
+        let without_start = |incarnation: &Incarnation| incarnation.started(0);
         let traces = std::mem::take(&mut self.traces);
-        self.traces = traces.into_iter().map(|(life, record)| (untold(&life), record)).collect();
+        self.traces = traces
+            .into_iter()
+            .map(|(incarnation, record)| (without_start(&incarnation), record))
+            .collect();
         for bytes in self.progress.values_mut() {
             let mut progress: Progress = decode(bytes).unwrap();
             let steps = progress.rounds.values_mut().flat_map(|round| &mut round.steps);
             let runs = steps.flat_map(|step| &mut step.tasks).flat_map(|task| &mut task.live);
-            runs.for_each(|run| run.worker = untold(&run.worker));
+            runs.for_each(|run| run.worker = without_start(&run.worker));
             *bytes = encode(&progress);
         }
     }
 
-    /// Hands a job in.
+    /// Submits a job.
     pub fn submit(&mut self, spec: JobSpec) -> JobId {
         self.submit_as(spec, Policy { attempts: 3, ..policy() })
     }
 
-    /// Hands a job in to a queue with a policy of its own.
+    /// Submits a job to a queue with its own policy.
     pub fn submit_as(&mut self, spec: JobSpec, policy: Policy) -> JobId {
         let id = JobId(self.next);
         self.next += 1;
@@ -305,34 +309,34 @@
         id
     }
 
-    /// Takes a job back by way of the newest owner.
+    /// Cancels a job at the newest owner.
     pub fn cancel(&mut self, id: JobId) {
         let now = self.now;
         assert!(self.owner().cell.cancel(id, now, now));
     }
 
-    /// Empties a data centre, or takes that back; every owner hears of it at once.
-    pub fn empty(&mut self, centre: &str, emptied: bool) {
-        match emptied {
-            true => drop(self.emptied.insert(centre.into())),
-            false => drop(self.emptied.remove(centre)),
+    /// Sets whether a data centre is being evacuated; every owner is informed at once.
+    pub fn empty(&mut self, centre: &str, evacuated: bool) {
+        match evacuated {
+            true => drop(self.evacuated.insert(centre.into())),
+            false => drop(self.evacuated.remove(centre)),
         }
         for owner in &mut self.owners {
-            owner.cell.empty_centres(&self.emptied);
+            owner.cell.empty_centres(&self.evacuated);
         }
     }
 
-    /// Whether a worker is in a data centre that is being emptied.
-    fn in_emptied(&self, worker: &str) -> bool {
-        self.workers.get(worker).is_some_and(|w| self.emptied.contains(&w.listing.data_centre))
+    /// Whether a worker is in a data centre that is being evacuated.
+    fn in_evacuated(&self, worker: &str) -> bool {
+        self.workers.get(worker).is_some_and(|w| self.evacuated.contains(&w.listing.data_centre))
     }
 
-    /// Cuts an owner off from a worker, or heals that.
+    /// Cuts an owner off from a worker, or reconnects it.
     pub fn cut(&mut self, owner: usize, worker: &str, cut: bool) {
         self.cuts.insert((owner, worker.into()), cut);
     }
 
-    /// Runs for a while.
+    /// Runs for some milliseconds.
     pub fn run(&mut self, millis: u64) {
         let end = self.now + millis;
         while self.now < end {
@@ -340,7 +344,7 @@
         }
     }
 
-    /// Runs until every job is over, or a limit; returns whether they are.
+    /// Runs until every job is over, for `limit` ms at most; returns whether all are.
     pub fn finish(&mut self, limit: u64) -> bool {
         let end = self.now + limit;
         while self.now < end {
@@ -353,6 +357,7 @@
         false
     }
 
+    /// Advances time by one step.
     fn step(&mut self) {
         self.now += STEP;
         for worker in self.workers.values_mut() {
--- a/crates/owner/tests/common/worker.rs
+++ b/crates/owner/tests/common/worker.rs
@@ -1,4 +1,4 @@
-//! A worker: fences, leases, runs, ends; answers as the platform's workers do.
+//! A simulated worker with fencing, leases and runs, which replies as the platform's workers do.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -8,14 +8,14 @@
 
 use super::Judge;
 
-/// How long a room that has shrunk still counts, in milliseconds: the contact time and a heartbeat.
-const SHRINKS: u64 = 4_000;
+/// How long the larger room still counts after a worker shrinks, in milliseconds: the contact time and a heartbeat.
+const SHRINK_GRACE: u64 = 4_000;
 
 /// The longest lease, in milliseconds.
-const HOLD: u64 = 10_000;
+const MAX_LEASE: u64 = 10_000;
 
-/// What a slow clock shows of the time that has passed, in percent; the platform's figure.
-const SLOW: u64 = 98;
+/// The rate of the slowest clock that the platform allows, in percent of real time.
+const SLOW_PERCENT: u64 = 98;
 
 /// A run on a worker.
 #[derive(Clone)]
@@ -24,30 +24,30 @@
     room: Room,
     work: u64,
     worked: u64,
-    lasting: bool,
-    pace: u32,
+    long_running: bool,
+    limit: u32,
     figure: f64,
 }
 
-/// A worker's life.
+/// An incarnation of a worker.
 pub struct FakeWorker {
     pub listing: Listing,
     pub listed: bool,
     pub reachable: bool,
     pub gone: bool,
-    /// Fails everything that it runs.
+    /// Whether all its runs fail.
     pub failing: bool,
-    /// Lets everything that it runs stand still.
+    /// Whether its runs make no progress.
     pub hanging: bool,
-    /// The figure that serving tasks tell; by tests that need one.
+    /// The tail latency that its serving tasks report, in place of the default.
     pub tail: Option<f64>,
-    /// Starts what it is told to, whatever its room.
+    /// Whether it starts tasks without regard to its room.
     pub unguarded: bool,
     /// Whether its clock is as slow as the platform allows; set before time passes.
     pub slow: bool,
-    /// What it has had lately, and since when.
+    /// The rooms that it has had, and since when.
     rooms: Vec<(u64, Room)>,
-    /// How many runs were ever started here.
+    /// The number of runs that were started on it.
     pub ever: u32,
     began: u64,
     fence: u64,
@@ -55,14 +55,15 @@
     last: u64,
     runs: BTreeMap<TaskId, FakeRun>,
     ends: Vec<Ended>,
-    /// How many ends there were; they are numbered from 1 in each incarnation.
+    /// The number of runs that ended; ends are numbered from 1 in each incarnation.
     count: u64,
-    barred: BTreeMap<TaskId, u32>,
+    /// The highest run of each task that has ended or was stopped, and may not start any more.
+    max_ended: BTreeMap<TaskId, u32>,
     name: Arc<str>,
 }
 
 impl FakeWorker {
-    /// A life that begins now.
+    /// An incarnation that begins now.
     pub fn new(listing: Listing, now: u64) -> Self {
         let name = listing.address.to_string().into();
         let rooms = vec![(now, listing.room)];
@@ -85,43 +86,43 @@
             runs: BTreeMap::new(),
             ends: Vec::new(),
             count: 0,
-            barred: BTreeMap::new(),
+            max_ended: BTreeMap::new(),
             name,
         }
     }
 
-    /// Its clock, which began with its life.
+    /// Its clock, in milliseconds since it began.
     fn clock(&self, now: u64) -> u64 {
         let passed = now - self.began;
-        if self.slow { passed * SLOW / 100 } else { passed }
+        if self.slow { passed * SLOW_PERCENT / 100 } else { passed }
     }
 
-    /// Its room is another one from now on; its entry says so at once.
+    /// Changes its room, and its entry at once.
     pub fn resize(&mut self, room: Room, now: u64) {
         self.listing.room = room;
         self.rooms.push((now, room));
     }
 
-    /// What starts may take of it: a room that has shrunk counts for a while longer.
+    /// The room that runs may use; the larger room counts for a while after the worker shrinks.
     fn limit(&self, now: u64) -> Room {
         let ends = self.rooms.iter().skip(1).map(|(at, _)| *at).chain([u64::MAX]);
-        let lately =
-            self.rooms.iter().zip(ends).filter(|(_, end)| now < end.saturating_add(SHRINKS));
-        lately.fold(Room::default(), |most, ((_, room), _)| Room {
+        let recent =
+            self.rooms.iter().zip(ends).filter(|(_, end)| now < end.saturating_add(SHRINK_GRACE));
+        recent.fold(Room::default(), |most, ((_, room), _)| Room {
             cpu: most.cpu.max(room.cpu),
             mem: most.mem.max(room.mem),
             accel: most.accel.max(room.accel),
         })
     }
 
-    /// How many runs there are.
+    /// The number of active runs.
     pub fn count(&self) -> usize {
         self.runs.len()
     }
 
-    /// The pace of a task, if it runs here.
+    /// The speed limit of a task in percent, if it runs here.
     pub fn pace_of(&self, task: TaskId) -> Option<u32> {
-        self.runs.get(&task).map(|r| r.pace)
+        self.runs.get(&task).map(|r| r.limit)
     }
 
     /// Whether a task runs here.
@@ -129,14 +130,14 @@
         self.runs.contains_key(&task)
     }
 
-    /// Sets the figure of a task.
+    /// Sets the value that a task reports: its tail latency if it serves, otherwise the processors that it uses.
     pub fn figure(&mut self, task: TaskId, figure: f64) {
         if let Some(run) = self.runs.get_mut(&task) {
             run.figure = figure;
         }
     }
 
-    /// The life ends without a word; what ran there is over.
+    /// Ends the incarnation and all its runs without notice.
     pub fn crash(&mut self, judge: &mut Judge) {
         for task in std::mem::take(&mut self.runs).into_keys() {
             judge.over(&self.name, task, false);
@@ -145,7 +146,7 @@
         self.listed = false;
     }
 
-    /// Ends what is here of a gang of which a member was lost.
+    /// Ends all members of a gang on this worker after one member was lost.
     pub fn break_off(&mut self, step: TaskId, judge: &mut Judge) {
         let of_step = |t: &TaskId| (t.job, t.round, t.step) == (step.job, step.round, step.step);
         let members: Vec<_> = self.runs.keys().copied().filter(of_step).collect();
@@ -157,7 +158,7 @@
         self.runs.keys().copied().collect()
     }
 
-    /// A run here that has gone on for as long as `delays` says its task lets its worker live.
+    /// A task that has run here for its delay in `delays`, after which it crashes the worker.
     pub fn culprit(&self, delays: &BTreeMap<TaskId, u64>) -> Option<TaskId> {
         let due = |(task, run): (&TaskId, &FakeRun)| {
             delays.get(task).is_some_and(|&delay| run.worked >= delay).then_some(*task)
@@ -165,7 +166,7 @@
         self.runs.iter().find_map(due)
     }
 
-    /// Time passes.
+    /// Advances its runs to `now`; they end if they are finished or the lease has expired.
     pub fn work(&mut self, now: u64, judge: &mut Judge) {
         let passed = now - std::mem::replace(&mut self.last, now);
         if self.gone {
@@ -175,21 +176,21 @@
             let tasks: Vec<_> = self.runs.keys().copied().collect();
             tasks.into_iter().for_each(|t| self.end(t, How::Lapsed, judge));
         }
-        let mut over = Vec::new();
+        let mut ended = Vec::new();
         for (&task, run) in &mut self.runs {
             if self.failing {
-                over.push((task, How::Failed));
+                ended.push((task, How::Failed));
             } else if !self.hanging {
-                run.worked += passed * u64::from(run.pace) / 100;
-                if run.worked >= run.work && !run.lasting {
-                    over.push((task, How::Done));
+                run.worked += passed * u64::from(run.limit) / 100;
+                if run.worked >= run.work && !run.long_running {
+                    ended.push((task, How::Done));
                 }
             }
         }
-        over.into_iter().for_each(|(t, how)| self.end(t, how, judge));
+        ended.into_iter().for_each(|(t, how)| self.end(t, how, judge));
     }
 
-    /// Renews, notes and lists.
+    /// Renews the lease, discards the ends that the owner has seen, and returns the active runs and the other ends.
     pub fn hold(
         &mut self,
         fence: u64,
@@ -205,7 +206,7 @@
         if seen > self.count {
             judge
                 .broken
-                .push(format!("{now}: {} is told to forget ends that it never had", self.name));
+                .push(format!("{now}: {} is asked to discard ends that it never had", self.name));
         }
         let clock = self.clock(now);
         self.lease(until.unwrap_or(0), clock, judge);
@@ -221,10 +222,10 @@
             task,
             run: r.number,
             saved: String::new(),
-            percent: if r.lasting { 100.0 } else { (r.worked * 100 / r.work.max(1)) as f64 },
-            figure: Some(match r.lasting {
+            percent: if r.long_running { 100.0 } else { (r.worked * 100 / r.work.max(1)) as f64 },
+            figure: Some(match r.long_running {
                 true => self.tail.unwrap_or(r.figure),
-                false => r.figure * f64::from(r.pace) / 100.0,
+                false => r.figure * f64::from(r.limit) / 100.0,
             }),
         });
         Ok(Held {
@@ -235,12 +236,12 @@
         })
     }
 
-    /// Adopts a lease; one that is longer than any may be is cut.
+    /// Extends the lease, to `MAX_LEASE` from now at most.
     fn lease(&mut self, until: u64, clock: u64, judge: &mut Judge) {
-        if until > clock + HOLD {
+        if until > clock + MAX_LEASE {
             judge.overlong.insert(self.name.clone(), until - clock);
         }
-        self.until = self.until.max(until.min(clock + HOLD));
+        self.until = self.until.max(until.min(clock + MAX_LEASE));
     }
 
     /// Starts a run under a fencing token and a lease.
@@ -265,7 +266,8 @@
         if self.runs.get(&task).is_some_and(|r| r.number == run) {
             return Told::Done;
         }
-        if self.barred.get(&task).is_some_and(|&b| run <= b) || self.runs.contains_key(&task) {
+        if self.max_ended.get(&task).is_some_and(|&max| run <= max) || self.runs.contains_key(&task)
+        {
             return Told::Old;
         }
         let used = self.runs.values().fold(Room::default(), |sum, r| sum + r.room);
@@ -275,22 +277,22 @@
         if self.unguarded && !spec.claim().fits(&self.limit(now).less(&used)) {
             judge.broken.push(format!("{now}: {task} takes {} over its room", self.name));
         }
-        let fresh = FakeRun {
+        let started = FakeRun {
             number: run,
             room: spec.claim(),
             work: spec.estimate,
             worked: 0,
-            lasting: spec.lasting,
-            pace: 100,
+            long_running: spec.lasting,
+            limit: 100,
             figure: if spec.target.is_some() { 40.0 } else { f64::from(spec.room.cpu) },
         };
-        self.runs.insert(task, fresh);
+        self.runs.insert(task, started);
         self.ever += 1;
         judge.begun(&self.name, task, now);
         Told::Done
     }
 
-    /// Stops a run, or bars it.
+    /// Stops a run, and prevents it from starting later.
     pub fn stop(&mut self, task: TaskId, run: u32, fence: u64, judge: &mut Judge) -> Told {
         if fence < self.fence {
             return Told::Fenced;
@@ -299,28 +301,29 @@
         if self.runs.get(&task).is_some_and(|r| r.number == run) {
             self.end(task, How::Stopped, judge);
         }
-        let barred = self.barred.entry(task).or_default();
-        *barred = (*barred).max(run);
+        let max = self.max_ended.entry(task).or_default();
+        *max = (*max).max(run);
         Told::Done
     }
 
-    /// Sets the pace of a run.
+    /// Sets the speed limit of a run.
     pub fn pace(&mut self, task: TaskId, run: u32, percent: u32, fence: u64) -> Told {
         if fence < self.fence {
             return Told::Fenced;
         }
         if let Some(r) = self.runs.get_mut(&task).filter(|r| r.number == run) {
-            r.pace = percent;
+            r.limit = percent;
         }
         Told::Done
     }
 
+    /// Ends a run.
     fn end(&mut self, task: TaskId, how: How, judge: &mut Judge) {
         let Some(run) = self.runs.remove(&task) else {
             return;
         };
-        let barred = self.barred.entry(task).or_default();
-        *barred = (*barred).max(run.number);
+        let max = self.max_ended.entry(task).or_default();
+        *max = (*max).max(run.number);
         judge.over(&self.name, task, how == How::Done);
         if how == How::Failed {
             judge.failed(task, run.number, self.last);
--- a/crates/owner/tests/crash_cells.rs
+++ b/crates/owner/tests/crash_cells.rs
@@ -1,5 +1,5 @@
-//! A lasting task that crashes its workers goes to another cell with what is counted against it, and
-//! comes back to the cell that can end its job.
+//! A long-running task that crashes its workers is transferred to another cell with its crash count, and
+//! comes back to the home cell, which can end its job.
 
 mod cells;
 
@@ -7,7 +7,7 @@
 
 use cells::{Cells, JOB, step};
 
-/// The cells of the tests: the job's home, which has room for four more tasks, and one with room.
+/// The cells: the home of the job, which has room for four more tasks, and one with free room.
 const HOME: usize = 0;
 const OTHER: usize = 1;
 
@@ -21,27 +21,27 @@
     cells
 }
 
-/// The most workers that may be lost with one task, whatever else goes on: the platform's figure is
-/// three and fewer than three more.
+/// The most workers that one task may crash under any faults: the platform allows three, and fewer than
+/// three more.
 const LIMIT: usize = 5;
 
-/// Asks that the job has ended everywhere.
+/// Checks that the job has ended in both cells.
 fn ended(mut cells: Cells) {
     assert_eq!(cells.owner(HOME).state(JOB), Some(State::Failed));
-    assert_eq!(cells.living(), 0, "the other cell has been told");
+    assert_eq!(cells.living(), 0, "the other cell has stopped its tasks");
 }
 
 #[test]
-fn what_is_counted_goes_along_and_the_home_ends_the_job() {
+fn the_crash_count_is_transferred_and_the_home_cell_ends_the_job() {
     let mut cells = two_cells();
     let crashes = cells.run_with_culprit(CULPRIT, false, 60_000);
-    // Its first run had been there for long, so the first crash tells nothing of it.
+    // The first run was an old one, so the first crash is not counted against the task.
     assert_eq!((crashes[HOME], crashes[OTHER]), (2, 2));
     ended(cells);
 }
 
 #[test]
-fn the_bound_holds_if_another_owner_follows_each_crash() {
+fn the_limit_holds_if_a_new_owner_follows_each_crash() {
     let mut cells = two_cells();
     let crashes = cells.run_with_culprit(CULPRIT, true, 60_000);
     assert!(crashes.iter().sum::<usize>() <= LIMIT, "{crashes:?}");
--- a/crates/owner/tests/late.rs
+++ b/crates/owner/tests/late_records.rs
@@ -1,37 +1,38 @@
-//! Tasks that are handed on while records take their time, come twice and out of turn, and owners
-//! die between writing and acting.
+//! Tasks are transferred while records are delayed, duplicated and reordered, and owners end between
+//! writing and acting.
 
 mod cells;
 
 use cells::{Cells, starts};
 
-/// How many random courses are played.
+/// The number of random sequences of events that are tried.
 const SEEDS: u64 = 300;
 
-fn no_run_twice(cells: &Cells, seed: u64) {
+/// Checks that no run was started twice.
+fn check_unique(cells: &Cells, seed: u64) {
     let mut runs: Vec<_> = cells.orders.iter().flat_map(|o| starts(o)).collect();
-    let all = runs.len();
+    let total = runs.len();
     runs.sort();
     runs.dedup_by_key(|(task, run, _)| (*task, *run));
-    assert_eq!(runs.len(), all, "seed {seed}: a run was started twice");
+    assert_eq!(runs.len(), total, "seed {seed}: a run was started twice");
 }
 
 #[test]
-fn every_task_runs_once_though_records_are_late() {
+fn every_task_runs_once_if_records_are_late() {
     for seed in 0..SEEDS {
         let mut cells = Cells::full(4);
         cells.slow_chaos(seed, None);
-        no_run_twice(&cells, seed);
+        check_unique(&cells, seed);
         assert_eq!(cells.living(), 16, "seed {seed}: a task runs nowhere, or twice");
     }
 }
 
 #[test]
-fn nothing_runs_on_though_the_end_comes_before_the_tasks() {
+fn no_task_goes_on_if_the_end_of_its_job_arrives_first() {
     for seed in 0..SEEDS {
         let mut cells = Cells::full(4);
         cells.slow_chaos(seed, Some(seed % 80));
-        no_run_twice(&cells, seed);
+        check_unique(&cells, seed);
         assert_eq!(cells.living(), 0, "seed {seed}: a task goes on after the end of its job");
     }
 }
