--- a/crates/owner/tests/cells/chaos.rs
+++ b/crates/owner/tests/cells/chaos.rs
@@ -1,15 +1,15 @@
-//! Everything goes wrong at random, and then is quiet.
+//! Random faults, followed by a time without any.
 
 use rand::{Rng, RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 
 use myrtle_owner::Delivery;
 
-use super::given::name;
+use super::fixtures::name;
 use super::{Cells, JOB, WORKERS};
 
 impl Cells {
-    /// Workers leave, owners die, deliveries are late or repeated; then all is quiet.
+    /// Lets workers leave, owners end and deliveries be lost or repeated; then runs without faults.
     pub fn chaos(&mut self, seed: u64) {
         let mut rng = ChaCha8Rng::seed_from_u64(seed);
         for _ in 0..60 {
@@ -23,7 +23,7 @@
                 }
                 1 => self.take_over(rng.random_range(0..self.owners.len())),
                 2 => self.lossy = rng.random(),
-                3 => self.repeat_a_delivery(&mut rng),
+                3 => self.repeat_delivery(&mut rng),
                 _ => {}
             }
             self.step();
@@ -33,7 +33,7 @@
         self.run(6_000);
     }
 
-    /// As `chaos`, with workers that start anew under their ids at any moment.
+    /// As `chaos`, with workers that also restart under their ids at any moment.
     pub fn restless_chaos(&mut self, seed: u64) {
         let mut rng = ChaCha8Rng::seed_from_u64(seed);
         for _ in 0..60 {
@@ -45,7 +45,7 @@
                 }
                 1 => self.take_over(cell),
                 2 => self.lossy = rng.random(),
-                3 => self.repeat_a_delivery(&mut rng),
+                3 => self.repeat_delivery(&mut rng),
                 4 | 5 => self.restart(cell, worker),
                 6 => (0..WORKERS).for_each(|worker| self.restart(cell, worker)),
                 _ => self.read_entry(cell, worker),
@@ -57,11 +57,11 @@
         self.run(8_000);
     }
 
-    /// As `chaos`, but every delivery takes its time, in any order, also those of owners that have
-    /// died; owners die between writing and acting; the job is taken back at step `cancel`.
-    pub fn slow_chaos(&mut self, seed: u64, cancel: Option<u64>) {
+    /// As `chaos`, but deliveries are delayed and reordered, also those of owners that have ended, owners end
+    /// between writing and acting, and the job is cancelled at step `cancel`.
+    pub fn delayed_chaos(&mut self, seed: u64, cancel: Option<u64>) {
         let mut rng = ChaCha8Rng::seed_from_u64(seed);
-        self.slow = Some(ChaCha8Rng::seed_from_u64(seed + 1));
+        self.delays = Some(ChaCha8Rng::seed_from_u64(seed + 1));
         for at in 0..80 {
             let cell = rng.random_range(0..self.owners.len());
             match rng.random_range(0..10) {
@@ -72,23 +72,24 @@
                     }
                 }
                 1 => self.take_over(cell),
-                2 => self.dying.push(cell),
-                3 => self.repeat_a_delivery(&mut rng),
+                2 => self.ending.push(cell),
+                3 => self.repeat_delivery(&mut rng),
                 _ => {}
             }
             if cancel == Some(at) {
                 self.owners[0].cancel(JOB, self.now, self.now);
-                // A client is told only once that is written; it asks again until then.
-                self.dying.clear();
+                // A client gets its answer only once the cancellation is written, and retries until then.
+                self.ending.clear();
             }
             self.step();
         }
-        self.dying.clear();
-        // No more owners come that would read the logs anew.
+        self.ending.clear();
+        // No new owner begins that would read the logs again.
         self.run(12_000);
     }
 
-    fn repeat_a_delivery(&mut self, rng: &mut impl Rng) {
+    /// Delivers the last record of a cell once more, later.
+    fn repeat_delivery(&mut self, rng: &mut impl Rng) {
         let cell = rng.random_range(0..self.jobs.len());
         if let Some((key, record)) = self.jobs[cell].last().cloned() {
             let delivery = Delivery { key, to: cell as u32, record };
--- a/crates/owner/tests/cells/crash.rs
+++ b/crates/owner/tests/cells/crash.rs
@@ -1,16 +1,16 @@
-//! Workers that crash by a task, and do not come back.
+//! Workers that crash because of a task, and do not come back.
 
 use myrtle_job::TaskId;
 
-use super::given::name;
+use super::fixtures::name;
 use super::{Cells, STEP, WORKERS};
 
-/// How long it takes until another life answers where a worker crashed, in milliseconds.
-const AWAY: u64 = 3_000;
+/// The time until another incarnation answers at the address of a crashed worker, in milliseconds.
+const DOWNTIME: u64 = 3_000;
 
 impl Cells {
-    /// Runs for a while, in which each worker that has a task crashes one step after the start; tells how
-    /// many did in each cell. With `owners` another host takes the cell over each time.
+    /// Runs for a while in which each worker crashes one step after it starts `task`, and returns the number of
+    /// crashes in each cell; with `owners` a new owner follows each crash.
     pub fn run_with_culprit(&mut self, task: TaskId, owners: bool, millis: u64) -> Vec<usize> {
         let mut crashes = vec![0; self.owners.len()];
         for _ in 0..millis / STEP {
@@ -22,7 +22,7 @@
             crashes[cell] += 1;
             let id = name(cell, worker);
             self.workers.entry(id.clone()).or_default().runs.clear();
-            self.crashed.insert(id, self.now + AWAY);
+            self.crashed.insert(id, self.now + DOWNTIME);
             if owners {
                 self.take_over(cell);
             }
--- a/crates/owner/tests/cells/given.rs
+++ b/crates/owner/tests/cells/fixtures.rs
@@ -1,4 +1,4 @@
-//! What the cells of the tests are made of, and orders as tests look at them.
+//! The workers, owners and jobs that tests begin with, and filters of orders.
 
 use myrtle_base::Room;
 use myrtle_job::{
@@ -11,7 +11,7 @@
 /// The job that fills the first cell.
 pub const JOB: JobId = JobId(7);
 
-/// When every worker started at first.
+/// The start time of the first incarnation of each worker.
 const FIRST: u64 = 1;
 
 /// The first incarnation of a worker.
@@ -19,12 +19,12 @@
     Incarnation::new(format!("w{cell}-{worker}"), FIRST)
 }
 
-/// The first incarnation of a worker that is meant.
-pub fn first_of(life: &Incarnation) -> Incarnation {
-    life.started(FIRST)
+/// The first incarnation of the same worker.
+pub fn first_of(incarnation: &Incarnation) -> Incarnation {
+    incarnation.started(FIRST)
 }
 
-/// What a worker of 32 cores says of itself.
+/// The listing of a worker of 32 cores.
 pub fn listing(cell: usize, worker: u16, draining: bool) -> Listing {
     Listing {
         service: "s".into(),
@@ -55,7 +55,7 @@
     cell
 }
 
-/// A step of 16 tasks that last and fill four workers of 32 cores.
+/// A step of 16 long-running tasks that fill four workers of 32 cores.
 pub fn step() -> StepSpec {
     StepSpec {
         count: 16,
@@ -66,7 +66,7 @@
     }
 }
 
-/// A job of some steps.
+/// A job of these steps.
 pub fn submission(steps: Vec<StepSpec>) -> Submission {
     let spec = JobSpec { body: "b".into(), steps, repeat: None };
     let policy =
--- a/crates/owner/tests/cells/mod.rs
+++ b/crates/owner/tests/cells/mod.rs
@@ -1,11 +1,11 @@
-//! Several cells in virtual time, each with its log, its owner and four workers that do as told.
+//! A simulation of several cells in virtual time, each with a log, an owner and four workers.
 
 #![allow(dead_code, unused_imports, reason = "each test file uses a part of it")]
 
 mod act;
 mod chaos;
 mod crash;
-mod given;
+mod fixtures;
 
 use std::collections::BTreeMap;
 
@@ -17,60 +17,61 @@
 };
 use myrtle_owner::{Cell, Delivery, Order};
 
-pub use given::{JOB, listing, owner, starts, step, stops};
+pub use fixtures::{JOB, listing, owner, starts, step, stops};
 
-use given::{name, submission};
+use fixtures::{name, submission};
 
 /// The time between two steps, in milliseconds.
 const STEP: u64 = 100;
 
-/// How many workers a cell has.
+/// The number of workers in a cell.
 const WORKERS: u16 = 4;
 
-/// What a worker runs, and the ends that it still has to tell.
+/// The active runs of a worker, and the ends that it still reports.
 #[derive(Debug, Default)]
 struct Worker {
     runs: BTreeMap<TaskId, (u32, String)>,
     ended: Vec<Ended>,
-    told: u64,
+    /// The number of ends so far.
+    count: u64,
 }
 
 /// Cells, their logs and their owners.
 pub struct Cells {
     pub now: u64,
-    /// Whether deliveries get lost.
+    /// Whether deliveries are lost.
     pub lossy: bool,
-    /// Whether cells tell each other nothing.
+    /// Whether cells do not exchange their loads.
     pub deaf: bool,
-    /// Whether runs show progress; else owners take short ones to stand still and move them.
+    /// Whether runs report progress; otherwise owners treat short ones as stalled and move them.
     pub lively: bool,
-    /// The home of jobs that come now.
+    /// The home cell of jobs that are submitted now.
     pub home: u32,
-    /// What the owners of each cell have ordered.
+    /// The orders that the owners of each cell have sent.
     pub orders: Vec<Vec<Order>>,
     owners: Vec<Cell>,
     jobs: Vec<Vec<(Key, Vec<u8>)>>,
     progress: Vec<BTreeMap<JobId, Vec<u8>>>,
     workers: BTreeMap<Incarnation, Worker>,
-    /// When workers started that have started anew, by their first incarnations.
+    /// When restarted workers started last, by their first incarnations.
     started: BTreeMap<Incarnation, u64>,
-    /// Workers that leave.
+    /// Workers that are leaving.
     leaving: Vec<Incarnation>,
-    /// Workers that have crashed, and when another life answers in their place.
+    /// Crashed workers, and when another incarnation answers at their address.
     crashed: BTreeMap<Incarnation, u64>,
     /// Deliveries that arrive later.
     late: Vec<(u64, Delivery)>,
-    /// Where the deliveries of a moment come from, while each takes its time.
-    slow: Option<ChaCha8Rng>,
-    /// Deliveries that take their time: when they arrive, their cell and its fencing token.
-    under_way: Vec<(u64, usize, u64, Delivery)>,
-    /// Cells whose owners die as soon as they have written.
-    dying: Vec<usize>,
+    /// The source of the delays of deliveries, if they are delayed.
+    delays: Option<ChaCha8Rng>,
+    /// Delayed deliveries: when they arrive, their sending cell and its fencing token.
+    in_transit: Vec<(u64, usize, u64, Delivery)>,
+    /// Cells whose owners end as soon as they have written.
+    ending: Vec<usize>,
     fence: u64,
 }
 
 impl Cells {
-    /// So many cells, the first of them full with one job.
+    /// `count` cells that exchange loads, the first of them filled by one job.
     pub fn full(count: usize) -> Self {
         let mut cells = Self::of(count, vec![step()]);
         assert_eq!(starts(&cells.orders[0]).len(), 16);
@@ -78,7 +79,7 @@
         cells
     }
 
-    /// So many cells that tell each other nothing yet; the first has a job of these steps.
+    /// `count` cells that do not exchange loads yet; the first has a job of these steps.
     pub fn of(count: usize, steps: Vec<StepSpec>) -> Self {
         let mut cells = Self {
             now: 1_000,
@@ -95,14 +96,14 @@
             leaving: vec![],
             crashed: BTreeMap::new(),
             late: vec![],
-            slow: None,
-            under_way: vec![],
-            dying: vec![],
+            delays: None,
+            in_transit: vec![],
+            ending: vec![],
             fence: 1,
         };
         cells.now += 2_000;
-        cells.give(0, Key::Job(JOB), myrtle_job::encode(&submission(steps)));
-        // The last ones wait for a moment before they take room that is kept for short tasks.
+        cells.append(0, Key::Job(JOB), myrtle_job::encode(&submission(steps)));
+        // The last tasks wait briefly before they may use the room that is reserved for short ones.
         cells.run(2_000);
         cells
     }
@@ -117,12 +118,12 @@
         &self.jobs[cell]
     }
 
-    /// How many runs go on.
+    /// The number of active runs.
     pub fn living(&self) -> usize {
         self.workers.values().map(|w| w.runs.len()).sum()
     }
 
-    /// A worker says that it leaves.
+    /// A worker announces that it leaves.
     pub fn leave(&mut self, cell: usize, worker: u16) {
         let now = self.now;
         let entry = self.entry(cell, worker, true);
@@ -130,56 +131,56 @@
         self.leaving.push(name(cell, worker));
     }
 
-    /// A worker starts anew under its id: it runs nothing, and its ends are numbered from 1. Only answers tell of
-    /// it until its entry is read.
+    /// Restarts a worker under its id without runs, with ends numbered from 1; until its entry is read, only its
+    /// replies show it.
     pub fn restart(&mut self, cell: usize, worker: u16) {
         let id = name(cell, worker);
         self.workers.insert(id.clone(), Worker::default());
         self.started.insert(id, self.now);
     }
 
-    /// A worker's entry is read.
+    /// Passes a worker's entry to the owner.
     pub fn read_entry(&mut self, cell: usize, worker: u16) {
         let leaves = self.leaving.contains(&name(cell, worker));
         let (now, entry) = (self.now, self.entry(cell, worker, leaves));
         self.owners[cell].list(name(cell, worker).id(), entry, now);
     }
 
-    /// The incarnation of a worker that is there now.
-    fn life(&self, first: &Incarnation) -> Incarnation {
+    /// The current incarnation of a worker.
+    fn incarnation(&self, first: &Incarnation) -> Incarnation {
         self.started.get(first).map_or_else(|| first.clone(), |start| first.started(*start))
     }
 
-    /// A worker is lost for good with all that it runs, and nobody is told.
+    /// Removes a worker and its runs for good, without notice.
     pub fn silence(&mut self, cell: usize, worker: u16) {
         let id = name(cell, worker);
         self.workers.entry(id.clone()).or_default().runs.clear();
         self.crashed.insert(id, u64::MAX);
     }
 
-    /// What a worker says of itself now.
+    /// The current entry of a worker.
     fn entry(&self, cell: usize, worker: u16, draining: bool) -> Listing {
-        let start = self.life(&name(cell, worker)).start();
+        let start = self.incarnation(&name(cell, worker)).start();
         Listing { start, ..listing(cell, worker, draining) }
     }
 
-    /// A run of a task ends well.
+    /// Completes the run of a task.
     pub fn finish(&mut self, task: TaskId) {
         for worker in self.workers.values_mut() {
             if let Some((run, saved)) = worker.runs.remove(&task) {
-                worker.told += 1;
-                worker.ended.push(Ended { number: worker.told, task, run, how: How::Done, saved });
+                worker.count += 1;
+                worker.ended.push(Ended { number: worker.count, task, run, how: How::Done, saved });
             }
         }
     }
 
-    /// A job of a cell is taken back.
+    /// Cancels a job of a cell.
     pub fn cancel(&mut self, cell: usize, job: JobId) {
         let now = self.now;
         assert!(self.owners[cell].cancel(job, now, now));
     }
 
-    /// Tasks of a job that ran once in the first cell, and are nowhere now, come to a cell.
+    /// Transfers tasks to a cell that ran once in the first cell and have no run now.
     pub fn give_part(&mut self, cell: usize, job: JobId, count: u16) {
         let tasks = (0..count).map(|index| PartTask {
             task: TaskId { job, round: 0, step: 0, index },
@@ -194,32 +195,32 @@
             crashes: vec![],
         };
         let id = PartId { job, from: 0, number: 0 };
-        self.give(cell, Key::Part(id), myrtle_job::encode(&part));
+        self.append(cell, Key::Part(id), myrtle_job::encode(&part));
     }
 
-    /// The home's job is taken back.
+    /// Cancels the job of the home cell.
     pub fn cancel_home(&mut self) {
         let now = self.now;
         assert!(self.owners[0].cancel(JOB, now, now));
         self.run(1_000);
     }
 
-    /// One more job comes to a cell.
+    /// Submits another job to a cell.
     pub fn give_job(&mut self, cell: usize, id: JobId, steps: Vec<StepSpec>) {
-        self.give(cell, Key::Job(id), myrtle_job::encode(&submission(steps)));
+        self.append(cell, Key::Job(id), myrtle_job::encode(&submission(steps)));
     }
 
-    /// The first worker of a cell that runs something of a job leaves.
+    /// Lets the first worker of a cell leave that runs a task of a job.
     pub fn leave_with(&mut self, cell: usize, job: JobId) {
-        let holds = |n: &u16| {
+        let runs = |n: &u16| {
             let worker = self.workers.get(&name(cell, *n));
             worker.is_some_and(|w| w.runs.keys().any(|task| task.job == job))
         };
-        let worker = (0..WORKERS).find(holds).unwrap();
+        let worker = (0..WORKERS).find(runs).unwrap();
         self.leave(cell, worker);
     }
 
-    /// A worker that was to leave stays.
+    /// Withdraws the announcement that a worker leaves.
     pub fn stay(&mut self, cell: usize, worker: u16) {
         let now = self.now;
         let entry = self.entry(cell, worker, false);
@@ -227,12 +228,12 @@
         self.leaving.retain(|id| *id != name(cell, worker));
     }
 
-    /// Another host takes a cell over.
+    /// Starts the successor of a cell's owner.
     pub fn take_over(&mut self, cell: usize) {
         self.fence += 1;
-        let mut next = owner(cell as u32, self.fence, self.now);
-        next.loaded = false;
-        std::mem::swap(&mut self.owners[cell], &mut next);
+        let mut successor = owner(cell as u32, self.fence, self.now);
+        successor.loaded = false;
+        std::mem::swap(&mut self.owners[cell], &mut successor);
         let records = self.jobs[cell].clone();
         records.iter().for_each(|(key, value)| self.admit(cell, *key, value));
         for (id, bytes) in self.progress[cell].clone() {
@@ -253,7 +254,7 @@
         self.deliver(cell, inherited);
     }
 
-    /// Cells tell each other how full they are.
+    /// Exchanges the loads of all cells.
     pub fn talk(&mut self) {
         let now = self.now;
         let loads: Vec<_> = self.owners.iter().map(|c| c.load(now)).collect();
@@ -264,19 +265,20 @@
         }
     }
 
-    /// Runs for a while.
+    /// Runs for some milliseconds.
     pub fn run(&mut self, millis: u64) {
         for _ in 0..millis / STEP {
             self.step();
         }
     }
 
-    /// Lets every worker of a cell tell the ends of what it has stopped.
+    /// Lets every worker of a cell report the ends of stopped runs.
     pub fn confirm_stops(&mut self, cell: usize) {
-        self.hold(cell);
+        self.renew(cell);
         self.write(cell);
     }
 
+    /// Advances time by one step.
     fn step(&mut self) {
         self.now += STEP;
         if !self.deaf {
@@ -287,10 +289,10 @@
             std::mem::take(&mut self.late).into_iter().partition(|(at, _)| *at <= now);
         self.late = rest;
         let due: Vec<(u64, Delivery)> = due;
-        due.into_iter().for_each(|(_, d)| self.give(d.to as usize, d.key, d.record));
+        due.into_iter().for_each(|(_, d)| self.append(d.to as usize, d.key, d.record));
         self.arrive();
         for cell in 0..self.owners.len() {
-            self.hold(cell);
+            self.renew(cell);
             self.owners[cell].lapse(now);
             self.owners[cell].evacuate(now);
             self.owners[cell].give_up(now, now);
--- a/crates/owner/tests/emptied.rs
+++ b/crates/owner/tests/evacuated.rs
@@ -1,5 +1,5 @@
-//! Data centres that the operator empties and takes back, while jobs of all kinds come and owners, workers and
-//! the log fail: nothing starts there, nothing is lost.
+//! Data centres that the operator evacuates and restores while jobs of all kinds are submitted and owners, workers and
+//! the log fail: no run starts there, and no task is lost.
 
 mod common;
 
@@ -9,7 +9,7 @@
 use common::{Faults, World, job, step};
 use myrtle_job::{JobId, Repeat, State, StepSpec};
 
-/// How many workers there are, evenly in three data centres.
+/// The number of workers, divided evenly among three data centres.
 const WORKERS: usize = 12;
 
 /// The data centres.
@@ -25,13 +25,13 @@
     world
 }
 
-/// How many runs there are in a data centre.
+/// The number of active runs in a data centre.
 fn runs(world: &World, centre: &str) -> usize {
-    let there = world.workers.values().filter(|w| !w.gone && w.listing.data_centre == centre);
-    there.map(|w| w.count()).sum()
+    let workers = world.workers.values().filter(|w| !w.gone && w.listing.data_centre == centre);
+    workers.map(|w| w.count()).sum()
 }
 
-/// Names a case and gives it such a world.
+/// Declares a test with such a world, in which no guarantee may be violated.
 macro_rules! case {
     ($(#[$doc:meta])* $name:ident, $world:ident, $body:block) => {
         $(#[$doc])*
@@ -44,19 +44,19 @@
     };
 }
 
-case!(what_runs_there_goes_on_and_what_comes_goes_elsewhere, world, {
-    let lasting = world.submit(job(vec![StepSpec { lasting: true, ..step(24) }]));
+case!(active_runs_go_on_and_new_ones_start_elsewhere, world, {
+    let long_running = world.submit(job(vec![StepSpec { lasting: true, ..step(24) }]));
     world.run(3_000);
     let before = runs(&world, "x");
     assert!(before > 0);
     world.empty("x", true);
     world.submit(job(vec![step(24)]));
-    assert!(!world.finish(6_000), "the lasting job goes on");
+    assert!(!world.finish(6_000), "the long-running job goes on");
     assert_eq!(runs(&world, "x"), before);
-    assert_eq!(world.owner().cell.state(lasting), Some(State::Running));
+    assert_eq!(world.owner().cell.state(long_running), Some(State::Running));
 });
 
-case!(where_all_is_emptied_jobs_wait_and_begin_once_it_is_taken_back, world, {
+case!(jobs_wait_while_all_data_centres_are_evacuated, world, {
     CENTRES.iter().for_each(|centre| world.empty(centre, true));
     let id = world.submit(job(vec![step(24)]));
     world.run(8_000);
@@ -68,8 +68,8 @@
 });
 
 case!(
-    /// Its record takes seconds; meanwhile the data centre of its worker comes to be emptied.
-    what_was_placed_before_does_not_start_after_it,
+    /// The record of a placement takes seconds, and the data centre of its worker is evacuated meanwhile.
+    tasks_placed_before_an_evacuation_do_not_start_after_it,
     world,
     {
         world.owner().logged = false;
@@ -85,10 +85,10 @@
     }
 );
 
-case!(workers_that_are_still_slow_get_what_has_no_room_elsewhere, world, {
+case!(cold_workers_get_only_tasks_without_room_elsewhere, world, {
     let cold = |world: &mut World, millis| {
-        let there = world.workers.values_mut().filter(|w| w.listing.data_centre == "x");
-        there.for_each(|w| w.listing.cold = millis);
+        let workers = world.workers.values_mut().filter(|w| w.listing.data_centre == "x");
+        workers.for_each(|w| w.listing.cold = millis);
     };
     cold(&mut world, 60_000);
     world.run(100);
@@ -102,10 +102,10 @@
     world.run(20_000);
     world.submit(job(vec![StepSpec { estimate: 20_000, ..step(48) }]));
     world.run(1_000);
-    assert!(runs(&world, "x") > 12, "it has its share once it is warm");
+    assert!(runs(&world, "x") > 12, "it gets its share once it is warm");
 });
 
-/// A step of any kind that clients hand in.
+/// A step of a random kind.
 fn kind(rng: &mut ChaCha8Rng) -> StepSpec {
     let count = rng.random_range(1..16);
     let estimate = rng.random_range(200..2_500);
@@ -119,7 +119,7 @@
     }
 }
 
-/// Plays a drawn course of data centres, jobs, owners, crashes and orders that are late or lost.
+/// Runs a random sequence of evacuations, jobs, new owners, crashes and orders that are delayed or lost.
 fn play(seed: u64) {
     let mut rng = ChaCha8Rng::seed_from_u64(seed);
     let mut world = world(seed);
@@ -159,11 +159,11 @@
         let lost = job.progress.crashes.values().map(|c| c.seen).max().unwrap_or(0);
         match job.shown {
             State::Completed => {}
-            // The platform's figure: two workers have crashed under a task.
+            // The platform gives a task up after two crashed workers at the earliest.
             State::Failed => assert!(lost >= 2, "seed {seed}: {id} failed without cause"),
             state => {
                 assert!(job.submission.spec.lasts(), "seed {seed}: {id} is {state} still");
-                assert_eq!(job.waiting(id), 0, "seed {seed}: {id} has tasks that wait");
+                assert_eq!(job.waiting(id), 0, "seed {seed}: {id} has waiting tasks");
             }
         }
     }
@@ -171,12 +171,12 @@
 }
 
 #[test]
-fn nothing_starts_in_an_emptied_data_centre_in_ten_courses() {
+fn no_run_starts_in_an_evacuated_data_centre_in_ten_sequences() {
     (0..10).for_each(play);
 }
 
 #[test]
-#[ignore = "by hand: cargo test -p myrtle-owner --test emptied -- --ignored"]
-fn nothing_starts_in_an_emptied_data_centre_in_two_hundred_courses() {
+#[ignore = "by hand: cargo test -p myrtle-owner --test evacuated -- --ignored"]
+fn no_run_starts_in_an_evacuated_data_centre_in_two_hundred_sequences() {
     (10..210).for_each(play);
 }
--- a/crates/owner/tests/harm.rs
+++ b/crates/owner/tests/interference.rs
@@ -1,4 +1,4 @@
-//! Which images disturb which, learned from noisy reports; and what is done about it.
+//! Which images slow each other, learned from noisy reports, and how owners act on it.
 
 mod common;
 
@@ -17,15 +17,15 @@
 /// The target of serving tasks, in milliseconds.
 const TARGET: u32 = 150;
 
-/// A tail as workers tell it: 25 ms at rest, more with load and what presses on it.
+/// The tail latency that workers report: 25 ms without pressure, more with load and interference.
 fn tail(pressure: f64) -> f64 {
     25.0 / (1.0 - pressure.min(0.99))
 }
 
-/// Feeds learners what two serving steps show while three filling images come and go.
-fn learned(seed: u64, windows: usize) -> Harm {
+/// Trains an interference model on two serving steps beside three filler images that come and go.
+fn train(seed: u64, windows: usize) -> Harm {
     let mut rng = ChaCha8Rng::seed_from_u64(seed);
-    let (mut harm, mut swings) = (Harm::default(), Swings::default());
+    let (mut model, mut cycles) = (Harm::default(), Swings::default());
     let truth: BTreeMap<(&str, &str), f64> =
         [(("s1", "f1"), 1.5), (("s2", "f2"), 1.2), (("s1", "f3"), 0.1), (("s2", "f3"), 0.1)].into();
     let names: Vec<Arc<str>> = ["f1", "f2", "f3"].map(Arc::from).to_vec();
@@ -41,25 +41,25 @@
                     uses.insert(name.clone(), rng.random_range(0.05..0.15));
                 }
             }
-            let pressed: f64 =
+            let interference: f64 =
                 uses.iter().map(|(n, u)| truth.get(&(&*image, &**n)).unwrap_or(&0.0) * u).sum();
             let noise = rng.random_range(0.9..1.1);
-            let shown = pressure(tail(load + pressed) * noise / f64::from(TARGET));
+            let shown = pressure(tail(load + interference) * noise / f64::from(TARGET));
             let at = window * 500;
-            let (own, beside) = (swings.guess(task, at), harm.pressed(&image, &uses));
-            harm.learn(&image, shown - own.mean, own.variance + 0.002, &uses);
-            swings.see(task, at, shown - beside.mean, beside.variance + 0.002);
+            let (own, beside) = (cycles.guess(task, at), model.pressed(&image, &uses));
+            model.learn(&image, shown - own.mean, own.variance + 0.002, &uses);
+            cycles.see(task, at, shown - beside.mean, beside.variance + 0.002);
         }
     }
-    harm
+    model
 }
 
 #[test]
-fn harmful_pairs_stand_out_after_some_hundred_windows() {
+fn pairs_that_interfere_stand_out_after_some_hundred_windows() {
     for seed in 0..8 {
-        let harm = learned(seed, 400);
+        let model = train(seed, 400);
         for (image, bad, good) in [("s1", "f1", "f2"), ("s2", "f2", "f1")] {
-            let (bad, good) = (harm.rise(image, bad, 0.1), harm.rise(image, good, 0.1));
+            let (bad, good) = (model.rise(image, bad, 0.1), model.rise(image, good, 0.1));
             assert!(bad > 0.06, "seed {seed}: {image} {bad}");
             assert!(good < 0.035, "seed {seed}: {image} {good}");
         }
@@ -67,18 +67,18 @@
 }
 
 #[test]
-fn doubt_counts_against_a_filler_until_it_is_known() {
-    let known = learned(1, 400);
+fn uncertainty_counts_against_a_filler_until_it_is_known() {
+    let known = train(1, 400);
     let unknown = Harm::default();
     assert!(unknown.risk("s1", "f2", 0.1) > known.risk("s1", "f2", 0.1));
     assert!(unknown.risk("s1", "f2", 0.1) > unknown.rise("s1", "f2", 0.1));
 }
 
 #[test]
-fn images_that_the_same_fillers_disturb_are_alike() {
-    let harm = learned(2, 400);
-    assert_eq!(harm.unlike("s1", "s1"), 0.0);
-    assert!(harm.unlike("s1", "s2") > 0.5);
+fn images_that_different_fillers_slow_are_unlike() {
+    let model = train(2, 400);
+    assert_eq!(model.unlike("s1", "s1"), 0.0);
+    assert!(model.unlike("s1", "s2") > 0.5);
 }
 
 fn serving(image: &str, count: u16) -> StepSpec {
@@ -102,11 +102,11 @@
     }
 }
 
-/// Lets time pass in tenths of a second, in each of which tails are told that are a little over
-/// `tail`, each longer than the last, in milliseconds.
-fn run_over_target(world: &mut World, tail: f64, looks: u32) {
-    for look in 1..=looks {
-        let tail = tail + f64::from(look);
+/// Runs in steps of 100 ms, in each of which workers report tail latencies that rise from `tail` by 1 ms a step, in
+/// milliseconds.
+fn run_over_target(world: &mut World, tail: f64, steps: u32) {
+    for step in 1..=steps {
+        let tail = tail + f64::from(step);
         world.workers.values_mut().for_each(|w| w.tail = Some(tail));
         world.run(100);
     }
@@ -130,7 +130,7 @@
 }
 
 #[test]
-fn fillers_beside_a_task_over_its_target_halt_before_the_time_allowed() {
+fn fillers_beside_a_task_over_its_target_stop_in_time() {
     let mut world = World::new(1, 1);
     let id = world.submit(job(vec![serving("a", 2)]));
     world.run(500);
@@ -141,19 +141,19 @@
     let worker = world.workers.values().next().unwrap();
     assert!(worker.runs(victim));
     for index in 0..3 {
-        let pace = worker.pace_of(TaskId { job: fill, round: 0, step: 0, index });
-        assert!(matches!(pace, None | Some(0)), "task {index} has pace {pace:?}");
+        let limit = worker.pace_of(TaskId { job: fill, round: 0, step: 0, index });
+        assert!(matches!(limit, None | Some(0)), "task {index} has speed limit {limit:?}");
     }
 }
 
 #[test]
-fn figures_that_scatter_around_the_target_do_not_put_the_halt_off() {
+fn latencies_that_vary_around_the_target_do_not_delay_the_stop() {
     let mut world = World::new(1, 1);
     world.submit(job(vec![serving("a", 2)]));
     world.run(500);
     let fill = world.submit(job(vec![filler("f", 3)]));
     world.run(500);
-    // Fillers that are known to be light go on for longest.
+    // Fillers that are known to interfere little are stopped last.
     for _ in 0..3 {
         world.workers.values_mut().for_each(|w| w.tail = Some(60.0));
         world.run(5_000);
@@ -166,13 +166,13 @@
     }
     let worker = world.workers.values().next().unwrap();
     for index in 0..3 {
-        let pace = worker.pace_of(TaskId { job: fill, round: 0, step: 0, index });
-        assert!(matches!(pace, None | Some(0)), "task {index} has pace {pace:?}");
+        let limit = worker.pace_of(TaskId { job: fill, round: 0, step: 0, index });
+        assert!(matches!(limit, None | Some(0)), "task {index} has speed limit {limit:?}");
     }
 }
 
 #[test]
-fn nothing_is_added_beside_a_task_that_is_over_its_target() {
+fn no_filler_is_added_beside_a_task_over_its_target() {
     let mut world = World::new(1, 1);
     world.submit(job(vec![serving("a", 2)]));
     world.run(500);
@@ -183,7 +183,7 @@
 }
 
 #[test]
-fn lasting_tasks_leave_room_to_short_ones() {
+fn long_running_tasks_leave_room_to_short_ones() {
     let mut world = World::new(1, 4);
     world.submit(job(vec![StepSpec {
         room: Room { cpu: 8_000, mem: 1, accel: 0 },
@@ -193,7 +193,7 @@
     let free = |world: &mut World| -> u32 {
         world.owner().cell.workers.values().map(|w| w.free().cpu).sum()
     };
-    assert_eq!(free(&mut world), 32_000, "a whole worker is kept for short tasks");
+    assert_eq!(free(&mut world), 32_000, "a whole worker is reserved for short tasks");
     world.run(3_000);
-    assert_eq!(free(&mut world), 0, "but lasting tasks do not wait for ever");
+    assert_eq!(free(&mut world), 0, "long-running tasks use the reserved room after a while");
 }
--- a/crates/owner/tests/late_records.rs
+++ b/crates/owner/tests/late_records.rs
@@ -21,7 +21,7 @@
 fn every_task_runs_once_if_records_are_late() {
     for seed in 0..SEEDS {
         let mut cells = Cells::full(4);
-        cells.slow_chaos(seed, None);
+        cells.delayed_chaos(seed, None);
         check_unique(&cells, seed);
         assert_eq!(cells.living(), 16, "seed {seed}: a task runs nowhere, or twice");
     }
@@ -31,7 +31,7 @@
 fn no_task_goes_on_if_the_end_of_its_job_arrives_first() {
     for seed in 0..SEEDS {
         let mut cells = Cells::full(4);
-        cells.slow_chaos(seed, Some(seed % 80));
+        cells.delayed_chaos(seed, Some(seed % 80));
         check_unique(&cells, seed);
         assert_eq!(cells.living(), 0, "seed {seed}: a task goes on after the end of its job");
     }
--- a/crates/owner/tests/duties.rs
+++ b/crates/owner/tests/tickets_and_waves.rs
@@ -1,4 +1,4 @@
-//! Tickets of queues with advice, and waves of upkeep.
+//! Tickets of queues with advice, and maintenance waves.
 
 mod common;
 
@@ -9,6 +9,7 @@
 
 use common::{World, job, policy, step};
 
+/// A policy with advice.
 fn advised() -> myrtle_job::Policy {
     let advice = Some(Advice { base: 10, each: 1, valid: 3_000 });
     myrtle_job::Policy { advice, ..policy() }
@@ -34,13 +35,14 @@
     assert!(world.owner().cell.state(id).is_some_and(|s| !s.over()));
 }
 
-/// Plays the machine service: what is ordered goes down and comes back two seconds later, under another id.
-fn play(world: &mut World, millis: u64, limit: usize) -> BTreeSet<String> {
-    play_with(world, millis, limit, |address| format!("again{address}"))
+/// Simulates the machine service: each machine goes down when ordered, and its worker comes back 2 s later under
+/// another id.
+fn maintain(world: &mut World, millis: u64, limit: usize) -> BTreeSet<String> {
+    maintain_with(world, millis, limit, |address| format!("again{address}"))
 }
 
-/// The same, with the ids under which workers come back at their addresses.
-fn play_with(
+/// As `maintain`, with a function from the address of a worker to the id under which it comes back.
+fn maintain_with(
     world: &mut World,
     millis: u64,
     limit: usize,
@@ -55,7 +57,7 @@
         for (machine, wave) in world.owner().cell.waves(now) {
             let at = |w: &common::FakeWorker| w.listing.machine.as_ref() == Some(&machine);
             let id = world.workers.iter().find(|(_, w)| !w.gone && at(w)).unwrap().0.clone();
-            assert_eq!(world.workers[&id].count(), 0, "{machine} is emptied first");
+            assert_eq!(world.workers[&id].count(), 0, "{machine} has to be empty first");
             let mut judge = std::mem::take(&mut world.judge);
             world.workers.get_mut(&id).unwrap().crash(&mut judge);
             world.judge = judge;
@@ -74,18 +76,18 @@
 }
 
 #[test]
-fn a_wave_empties_its_machines_a_few_at_a_time() {
+fn a_wave_takes_its_machines_down_a_few_at_a_time() {
     let mut world = World::new(5, 4);
-    let mut lasting = step(6);
-    lasting.lasting = true;
-    lasting.may_miss = Some(1);
-    world.submit(job(vec![lasting]));
+    let mut long_running = step(6);
+    long_running.lasting = true;
+    long_running.may_miss = Some(1);
+    world.submit(job(vec![long_running]));
     world.run(1_000);
     let machines: Vec<String> = (0..4).map(|n| format!("m{n}")).collect();
     let wave = Wave { number: 1, machines: machines.clone(), duration: 40_000, limit: 1 };
     let now = world.now;
     world.owner().cell.add_wave(wave, BTreeSet::new(), now);
-    assert_eq!(play(&mut world, 30_000, 1), machines.into_iter().collect());
+    assert_eq!(maintain(&mut world, 30_000, 1), machines.into_iter().collect());
     let news = world.owner().cell.wave_news();
     assert!(
         news.iter()
@@ -95,17 +97,18 @@
 }
 
 #[test]
-fn a_new_owner_spares_machines_that_are_done() {
+fn a_new_owner_skips_machines_that_are_done() {
     let mut world = World::new(5, 2);
     let machines = vec!["m0".to_string(), "m1".to_string()];
     let wave = Wave { number: 7, machines, duration: 20_000, limit: 2 };
     let done = BTreeSet::from(["m0".to_string()]);
     let now = world.now;
     world.owner().cell.add_wave(wave, done, now);
-    assert_eq!(play(&mut world, 6_000, 2), BTreeSet::from(["m1".to_string()]));
+    assert_eq!(maintain(&mut world, 6_000, 2), BTreeSet::from(["m1".to_string()]));
 }
 
-// By id a machine whose worker kept it seemed not to have gone down at all, and each turn waited six seconds more.
+// If workers were told apart by id alone, a machine whose worker keeps its id would seem never to have gone down, and
+// each machine would take 6 s longer.
 #[test]
 fn a_machine_is_done_when_its_worker_is_back_under_its_id() {
     let mut world = World::new(5, 4);
@@ -113,12 +116,12 @@
     let wave = Wave { number: 1, machines: machines.clone(), duration: 40_000, limit: 1 };
     let now = world.now;
     world.owner().cell.add_wave(wave, BTreeSet::new(), now);
-    let seen = play_with(&mut world, 12_000, 1, |address| format!("w{address}"));
+    let seen = maintain_with(&mut world, 12_000, 1, |address| format!("w{address}"));
     assert_eq!(seen, machines.into_iter().collect());
 }
 
 #[test]
-fn a_worker_that_starts_anew_while_it_is_emptied_gets_nothing_more() {
+fn a_worker_that_restarts_before_maintenance_gets_no_new_runs() {
     let mut world = World::new(5, 2);
     let long = StepSpec { estimate: 3_000, ..step(8) };
     world.submit(job(vec![long.clone()]));
@@ -126,11 +129,11 @@
     let wave = Wave { number: 1, machines: vec!["m0".into()], duration: 60_000, limit: 1 };
     let now = world.now;
     world.owner().cell.add_wave(wave, BTreeSet::new(), now);
-    assert!(world.owner().cell.waves(now).is_empty(), "it is emptied first");
+    assert!(world.owner().cell.waves(now).is_empty(), "the machine has to be empty first");
     let id = world.workers.keys().next().unwrap().clone();
     world.restart(&id, 300);
     world.run(400);
     world.submit(job(vec![long]));
     world.run(1_000);
-    assert_eq!(world.workers["w0"].count(), 0, "it is to go down");
+    assert_eq!(world.workers["w0"].count(), 0, "a run began before maintenance");
 }
