--- a/crates/front/src/balance.rs
+++ b/crates/front/src/balance.rs
@@ -50,7 +50,7 @@
             if cell != owned.cell
                 && let Some(load) = load_of(&host, cell).await
             {
-                owned.state().hear(cell, load, now());
+                owned.state().record_load(cell, load, now());
             }
         }
         rounds = rounds.wrapping_add(1);
@@ -72,14 +72,14 @@
 
 /// Forgets moved jobs that their new cells no longer have.
 async fn forget(host: &Host, owned: &Owned) {
-    let candidates = owned.state().perhaps_forgotten(wall());
+    let candidates = owned.state().maybe_removed(wall());
     for (job, cell) in candidates {
         let Some(at) = host.owners.find(host, cell).await else {
             continue;
         };
         let ask = |c: FrontPeerClient, context| async move { c.state(context, cell, job).await };
         if host.owners.call(at, ASK_LIMIT, ask).await == Some(Seen::Unknown) {
-            owned.state().forget_moved(job);
+            owned.state().remove_transferred(job);
         }
     }
 }
--- a/crates/front/src/flush.rs
+++ b/crates/front/src/flush.rs
@@ -54,7 +54,7 @@
     let mut answer_time = AnswerTime::new();
     let mut rest = GATHER;
     while !owned.deposed() {
-        if owned.closed() && owned.state().idle() {
+        if owned.closed() && owned.state().flushed() {
             return;
         }
         if timeout(IDLE_WAIT, owned.wake.notified()).await.is_ok() {
@@ -75,7 +75,7 @@
             }
             number += 1;
         }
-        drop_jobs(host, owned, &batch.drops).await;
+        drop_jobs(host, owned, &batch.removals).await;
         let took = now() - started;
         host.meter.took("myrtle_commit_micros", "", Duration::from_millis(took));
         let (starts, deliveries) = {
@@ -108,13 +108,15 @@
     }
     let batch = owned.busy.measure(Work::Batch, || cell.batch());
     owned.set_writing(!batch.is_empty());
-    (cell.orders(), cell.questions(), batch)
+    (cell.orders(), cell.take_questions(), batch)
 }
 
 /// Frames the records for appends, each below the limit.
 fn bodies(batch: &Batch) -> Vec<Bytes> {
-    let traces =
-        batch.traces.iter().map(|(incarnation, value)| (worker_key(incarnation), value.as_slice()));
+    let traces = batch
+        .worker_records
+        .iter()
+        .map(|(incarnation, value)| (worker_key(incarnation), value.as_slice()));
     // A record without a value removes its key.
     let owners = batch.owners.iter().map(|fence| (owner_key(*fence), &[][..]));
     let records = batch.records.iter().map(|(id, value)| (id.to_string(), value.as_slice()));
--- a/crates/front/src/handoff.rs
+++ b/crates/front/src/handoff.rs
@@ -76,7 +76,7 @@
     if !state.loaded {
         return false;
     }
-    ends.iter().for_each(|end| state.hear_end(end, now(), wall()));
+    ends.iter().for_each(|end| state.restore_end(end, now(), wall()));
     drop(state);
     owned.wake.notify_one();
     true
--- a/crates/front/src/learned.rs
+++ b/crates/front/src/learned.rs
@@ -49,7 +49,7 @@
     let Some(bytes) = found else {
         return;
     };
-    match owned.state().recall(&bytes, now(), wall()) {
+    match owned.state().restore_model(&bytes, now(), wall()) {
         Ok(()) => info!("event=lessons-recalled cell={} bytes={}", owned.cell, bytes.len()),
         Err(e) => warn!("event=lessons-unread cell={} reason=\"{e}\"", owned.cell),
     }
@@ -57,7 +57,7 @@
 
 /// Writes the learned model, if there is one.
 async fn write(host: &Host, owned: &Owned) -> Result<(), StoreError> {
-    let Some(model) = owned.state().lessons(now(), wall()) else {
+    let Some(model) = owned.state().learned_model(now(), wall()) else {
         return Ok(());
     };
     let mut body = BytesMut::new();
--- a/crates/front/src/maintenance.rs
+++ b/crates/front/src/maintenance.rs
@@ -12,7 +12,7 @@
     StoreError, UpkeepReply, WaveOrder, Writer, frame_keyed, topics, wave_status,
 };
 use myrtle_job::{decode, encode};
-use myrtle_owner::{Upkeep, Wave};
+use myrtle_owner::{Maintenance, Wave};
 
 use crate::clock::now;
 use crate::host::Host;
@@ -55,7 +55,7 @@
         }
         let (orders, changes) = {
             let mut cell = owned.state();
-            (cell.waves(now()), cell.wave_news())
+            (cell.advance_waves(now()), cell.changed_waves())
         };
         for (machine, wave) in orders {
             let (host, owned) = (host.clone(), owned.clone());
@@ -81,24 +81,24 @@
     };
     if !owned.may_lease() {
         // After a pause of this process another host may own the cell, and not every machine service checks tokens.
-        return owned.state().upkeep_told(wave, machine, Upkeep::Again, now());
+        return owned.state().maintenance_replied(wave, machine, Maintenance::Again, now());
     }
     let name = &host.settings.name;
     let reply = machines.upkeep(machine, wave, name, owned.fence, CALL_LIMIT).await;
     let outcome = match reply {
-        Ok(UpkeepReply::Begun) => Upkeep::Begun,
-        Ok(UpkeepReply::Foreign) => Upkeep::Dropped,
+        Ok(UpkeepReply::Begun) => Maintenance::Begun,
+        Ok(UpkeepReply::Foreign) => Maintenance::Dropped,
         Ok(UpkeepReply::Fenced) => {
             owned.depose("the machine service");
-            Upkeep::Again
+            Maintenance::Again
         }
-        Ok(UpkeepReply::Busy) => Upkeep::Again,
+        Ok(UpkeepReply::Busy) => Maintenance::Again,
         Err(e) => {
             info!("event=upkeep-failed wave={wave} machine={machine} reason=\"{e}\"");
-            Upkeep::Again
+            Maintenance::Again
         }
     };
-    owned.state().upkeep_told(wave, machine, outcome, now());
+    owned.state().maintenance_replied(wave, machine, outcome, now());
 }
 
 async fn read(host: &Host) -> Result<BTreeMap<u64, BTreeSet<String>>, StoreError> {
--- a/crates/front/src/operator.rs
+++ b/crates/front/src/operator.rs
@@ -128,6 +128,6 @@
 pub fn evacuate(host: &Host, owned: &Owned) {
     let data_centres = host.evacuated.centres();
     host.meter.level("myrtle_data_centres_emptied", "", data_centres.len() as i64);
-    owned.state().empty_centres(&data_centres);
+    owned.state().evacuate_centres(&data_centres);
     owned.wake.notify_one();
 }
--- a/crates/front/src/orders.rs
+++ b/crates/front/src/orders.rs
@@ -23,7 +23,7 @@
     let Ok(_permit) = link.permits.acquire().await else {
         return;
     };
-    if owned.closed() || !owned.state().stands(&order, now()) {
+    if owned.closed() || !owned.state().still_wanted(&order, now()) {
         return;
     }
     let outcome = call(&owned, &link, &order).await;
@@ -45,14 +45,14 @@
         Order::Stop { task, run, .. } => {
             link.client.stop(&task.to_string(), *run, fence, ORDER_LIMIT).await
         }
-        Order::Pace { task, run, percent, .. } => {
+        Order::Throttle { task, run, percent, .. } => {
             link.client.pace(&task.to_string(), *run, *percent, fence, ORDER_LIMIT).await
         }
     };
     match result {
-        Ok((reply, _)) => Outcome::Told(reply),
+        Ok((reply, _)) => Outcome::Replied(reply),
         Err(WorkerError::Replaced(by)) => Outcome::Replaced(by),
-        Err(WorkerError::Unwell { .. }) => Outcome::Unwell,
+        Err(WorkerError::Unwell { .. }) => Outcome::Unhealthy,
         Err(WorkerError::Failure(f)) if !f.sent => Outcome::Unsent,
         Err(e) => {
             debug!("event=order-unanswered worker={} reason=\"{e}\"", order.worker());
@@ -65,25 +65,25 @@
     let mut cell = owned.state();
     let fenced = match order {
         Order::Start { worker, task, run, .. } => {
-            cell.start_told(worker, *task, *run, outcome, now())
+            cell.start_replied(worker, *task, *run, outcome, now())
         }
-        Order::Stop { worker, task, run } => cell.stop_told(worker, *task, *run, outcome, now()),
-        Order::Pace { worker, task, run, percent } => {
-            if !matches!(outcome, Outcome::Told(Told::Done)) {
+        Order::Stop { worker, task, run } => cell.stop_replied(worker, *task, *run, outcome, now()),
+        Order::Throttle { worker, task, run, percent } => {
+            if !matches!(outcome, Outcome::Replied(Told::Done)) {
                 warn!(
                     "event=pace-told task={task} run={run} worker={worker} percent={percent} \
                      outcome={outcome:?}"
                 );
-                cell.pace_unsure(worker, *task, *run, *percent);
+                cell.limit_unconfirmed(worker, *task, *run, *percent);
             }
-            outcome == Outcome::Told(Told::Fenced)
+            outcome == Outcome::Replied(Told::Fenced)
         }
     };
     drop(cell);
     if fenced {
         owned.depose("a worker that has seen a higher fencing token");
     }
-    if outcome != Outcome::Told(Told::Done) {
+    if outcome != Outcome::Replied(Told::Done) {
         owned.wake.notify_one();
     }
 }
--- a/crates/front/src/ownership/member.rs
+++ b/crates/front/src/ownership/member.rs
@@ -194,7 +194,7 @@
 /// Waits until the owner has written its state; sends the ends of runs that the log did not take to the successor.
 async fn flush(host: &Arc<Host>, owned: &Arc<Owned>) {
     let wait = async {
-        while !owned.deposed() && (owned.writing() || !owned.state().idle()) {
+        while !owned.deposed() && (owned.writing() || !owned.state().flushed()) {
             sleep(Duration::from_millis(5)).await;
         }
     };
--- a/crates/front/src/peers.rs
+++ b/crates/front/src/peers.rs
@@ -105,7 +105,7 @@
 /// The state of a job in the owner's memory.
 fn in_memory(owned: &Owned, job: JobId) -> Option<Seen> {
     let cell = owned.state();
-    let moved = cell.moved(job).map(Seen::Moved);
+    let moved = cell.transferred_to(job).map(Seen::Moved);
     moved.or_else(|| cell.state(job).map(Seen::Job))
 }
 
@@ -128,13 +128,13 @@
     if !known && !caught_up(host, &owned).await {
         return Seen::Elsewhere;
     }
-    if let Some(to) = owned.state().moved(job) {
+    if let Some(to) = owned.state().transferred_to(job) {
         return Seen::Moved(to);
     }
     let mut commits = owned.committed.subscribe();
     let known = owned.state().cancel(job, now(), wall());
     if !known {
-        owned.state().bar(job, now(), wall());
+        owned.state().cancel_early(job, now(), wall());
     }
     owned.wake.notify_one();
     let written = async {
@@ -158,7 +158,7 @@
     let cell = owned.state();
     match cell.state(job) {
         Some(state) => state.over().then_some(Seen::Job(state)),
-        None => cell.bar_logged(job).then_some(Seen::Unknown),
+        None => cell.cancel_logged(job).then_some(Seen::Unknown),
     }
 }
 
--- a/crates/front/src/renewal.rs
+++ b/crates/front/src/renewal.rs
@@ -8,7 +8,7 @@
 
 use myrtle_adapter::WorkerError;
 use myrtle_job::Incarnation;
-use myrtle_owner::HoldArgs;
+use myrtle_owner::RenewalArgs;
 
 use crate::backoff::Backoff;
 use crate::busy::Work;
@@ -44,7 +44,7 @@
         let until = args.until.filter(|_| owned.may_lease());
         let sent = now();
         let result =
-            link.client.hold(args.fence, args.seen, until, wait, wait + REPLY_MARGIN).await;
+            link.client.hold(args.fence, args.logged_ends, until, wait, wait + REPLY_MARGIN).await;
         if owned.closed() {
             break;
         }
@@ -52,12 +52,14 @@
             Ok(Ok(held)) => {
                 backoff.reset();
                 let mut cell = owned.state();
-                owned.busy.measure(Work::Report, || cell.held(&worker, held, sent, now(), wall()));
+                owned
+                    .busy
+                    .measure(Work::Report, || cell.renewed(&worker, held, sent, now(), wall()));
                 drop(cell);
                 owned.wake.notify_one();
             }
             Ok(Err(reply)) => {
-                if owned.state().hold_refused(&worker, reply) {
+                if owned.state().renewal_refused(&worker, reply) {
                     owned.depose("a worker that has seen a higher fencing token");
                 }
                 sleep(backoff.pause()).await;
@@ -70,7 +72,7 @@
                         // The list may show the next incarnation only a second later.
                         crate::roster::renew_all(&host, &owned);
                     }
-                    _ => owned.state().hold_failed(&worker, now()),
+                    _ => owned.state().renewal_failed(&worker, now()),
                 }
                 owned.wake.notify_one();
                 sleep(backoff.pause()).await;
@@ -81,17 +83,17 @@
 }
 
 /// Returns the arguments of the next renewal and how long it waits for the end of a run.
-async fn next(owned: &Owned, worker: &Incarnation) -> Option<(HoldArgs, Duration)> {
-    let args = owned.state().hold_args(worker, now())?;
+async fn next(owned: &Owned, worker: &Incarnation) -> Option<(RenewalArgs, Duration)> {
+    let args = owned.state().renewal_args(worker, now())?;
     let wait = if args.until.is_some() { RENEWAL_WAIT } else { Duration::ZERO };
-    if !args.behind {
+    if !args.log_first {
         return Some((args, wait));
     }
     // The worker would report ends that are not logged again at once.
     let mut commits = owned.committed.subscribe();
     let _ = timeout(COMMIT_WAIT, commits.changed()).await;
-    let args = owned.state().hold_args(worker, now())?;
-    Some((args, if args.behind { Duration::ZERO } else { wait }))
+    let args = owned.state().renewal_args(worker, now())?;
+    Some((args, if args.log_first { Duration::ZERO } else { wait }))
 }
 
 /// The time to live of a group membership, in milliseconds.
--- a/crates/front/src/roster.rs
+++ b/crates/front/src/roster.rs
@@ -74,7 +74,7 @@
         let known = cell.workers.keys().map(Incarnation::id);
         let missing: BTreeSet<_> = known.filter(|id| !listed.contains(&***id)).cloned().collect();
         for id in missing {
-            cell.unlist(&id, now());
+            cell.remove_listing(&id, now());
         }
         Ok(end)
     }
@@ -88,7 +88,7 @@
             match unframe_keyed(record) {
                 Ok(framed) if framed.value.is_empty() => {
                     self.unused.forget(&framed.key);
-                    self.owned.state().unlist(&framed.key, now());
+                    self.owned.state().remove_listing(&framed.key, now());
                 }
                 Ok(framed) => drop(self.apply(&framed.key, &framed.value, offset)),
                 Err(e) => warn!("event=worker-unread reason=\"{e}\""),
@@ -106,7 +106,7 @@
             Ok(listing) => listing,
             Err(e) => {
                 self.unused.refuse(id, &e);
-                self.owned.state().unlist(id, now());
+                self.owned.state().remove_listing(id, now());
                 return false;
             }
         };
@@ -117,19 +117,19 @@
         if cell != Some(self.owned.cell) {
             return false;
         }
-        let known = self.owned.state().knows(id);
+        let known = self.owned.state().has_worker(id);
         if !known && !is_named(self.host, &listing) {
             self.unused.park(id, listing);
             return false;
         }
-        self.owned.state().list(id, listing, now());
+        self.owned.state().apply_listing(id, listing, now());
         true
     }
 
     /// Uses the parked workers whose services the configuration names by now.
     fn use_named(&mut self) {
         for (id, listing) in self.unused.unpark(|listing| is_named(self.host, listing)) {
-            self.owned.state().list(&id, listing, now());
+            self.owned.state().apply_listing(&id, listing, now());
         }
     }
 }
@@ -143,7 +143,7 @@
 pub fn renew_all(host: &Arc<Host>, owned: &Arc<Owned>) {
     let incarnations: Vec<Incarnation> = {
         let cell = owned.state();
-        cell.workers.iter().filter(|(_, w)| w.wants_hold()).map(|(id, _)| id.clone()).collect()
+        cell.workers.iter().filter(|(_, w)| w.needs_renewal()).map(|(id, _)| id.clone()).collect()
     };
     for incarnation in incarnations {
         if owned.start_renewal(&incarnation) {
--- a/crates/front/src/settings.rs
+++ b/crates/front/src/settings.rs
@@ -7,7 +7,7 @@
 use serde::Deserialize;
 
 use myrtle_config::{Fault, read_file};
-use myrtle_owner::Bounds;
+use myrtle_owner::TimeLimits;
 
 use crate::capacity::Capacity;
 
@@ -134,13 +134,13 @@
     }
 
     /// The time limits of an owner.
-    pub fn owner_bounds(&self) -> Bounds {
+    pub fn owner_bounds(&self) -> TimeLimits {
         let figures = &self.bounds;
-        Bounds {
-            hold: figures.hold,
-            stop: figures.stop,
-            harm: figures.harm,
-            status: (figures.status * 1000.0) as u64,
+        TimeLimits {
+            max_lease: figures.hold,
+            max_stop: figures.stop,
+            throttle_after: figures.harm,
+            status_ttl: (figures.status * 1000.0) as u64,
         }
     }
 
--- a/crates/front/src/takeover.rs
+++ b/crates/front/src/takeover.rs
@@ -47,9 +47,9 @@
     info!("event=owner-begins cell={cell} fence={fence}");
     let mut state = Cell::new(host.settings.owner_bounds(), fence, now());
     state.number = cell;
-    host.directory.note_end(cell, fence, state.began + renewal::ttl(host));
-    state.ended = host.directory.ended(cell);
-    state.alone = host.layout().is_none_or(|layout| layout.count() < 2);
+    host.directory.note_end(cell, fence, state.began_at + renewal::ttl(host));
+    state.ended_owners = host.directory.ended(cell);
+    state.only_cell = host.layout().is_none_or(|layout| layout.count() < 2);
     let owned = Arc::new(Owned::new(cell, fence, state, confirmed, renewal::ttl(host)));
     host.own(cell, owned.clone());
     // Only once the cell is listed as owned, so that no change in between is missed.
@@ -161,7 +161,7 @@
     }
     for (count, (id, progress)) in read.progress.into_iter().enumerate() {
         yield_turn(count).await;
-        owned.state().inherit(id, progress, now());
+        owned.state().restore_progress(id, progress, now());
     }
     // The progress may already contain some of the transfers in the log, so they come after it.
     let parts = jobs.iter().filter(|(key, _)| !matches!(key, Key::Job(_)));
@@ -185,7 +185,7 @@
             return read.workers.push((incarnation, value));
         }
         if let Some(fence) = parse_owner(&key) {
-            return owned.state().note_owner(fence);
+            return owned.state().add_owner(fence);
         }
         let Ok(id) = key.parse::<JobId>() else {
             return warn!("event=record-unread topic={PROGRESS} key={key}");
@@ -203,7 +203,7 @@
 
 /// Restores a worker that was given work.
 fn restore_worker(owned: &Owned, incarnation: &Incarnation, value: &[u8]) {
-    if let Err(e) = owned.state().recall_worker(incarnation, value, now()) {
+    if let Err(e) = owned.state().restore_worker(incarnation, value, now()) {
         warn!("event=trace-unread worker={incarnation} reason=\"{e}\"");
     }
 }
@@ -278,14 +278,14 @@
             let mut cell = owned.state();
             cell.admit(id, submission, now(), wall());
             if let Some(layout) = host.layout() {
-                cell.settle(id, layout.job_cell(id));
+                cell.set_home(id, layout.job_cell(id));
             }
         }),
         Key::Part(id) => {
-            Part::read(value).map(|part| owned.state().take_part(id, part, now(), wall()))
+            Part::read(value).map(|part| owned.state().receive_transfer(id, part, now(), wall()))
         }
         Key::Recall(id) => {
-            owned.state().take_back(id.job, now(), wall());
+            owned.state().cancel_transferred(id.job, now(), wall());
             Ok(())
         }
     };
--- a/crates/front/src/tick.rs
+++ b/crates/front/src/tick.rs
@@ -31,7 +31,7 @@
         ticks = ticks.wrapping_add(1);
         let orders = owned.busy.measure(Work::Tick, || tick(&owned, ticks));
         owned.dispatch(orders);
-        if owned.state().restless() {
+        if owned.state().has_work() {
             owned.wake.notify_one();
         }
     }
@@ -40,20 +40,20 @@
 /// Runs one tick; returns the orders to send.
 fn tick(owned: &Owned, ticks: u32) -> Vec<Order> {
     let mut cell = owned.state();
-    cell.lapse(now());
-    cell.evacuate(now());
-    cell.guard_all(now());
-    cell.look_for_copies(now());
+    cell.expire(now());
+    cell.drain_leaving(now());
+    cell.throttle_all(now());
+    cell.find_late_runs(now());
     cell.give_up(now(), wall());
     cell.begin_rounds(wall());
     if ticks.is_multiple_of(FORGET_EVERY) {
-        cell.forget(now(), wall());
+        cell.remove_expired(now(), wall());
     }
     if ticks.is_multiple_of(LOG_EVERY) {
-        let limbo = cell.limbo(now());
-        info!("event=cell cell={} {} {limbo} {}", owned.cell, cell.gist(), owned.busy.take());
+        let limbo = cell.uncertain(now());
+        info!("event=cell cell={} {} {limbo} {}", owned.cell, cell.summary(), owned.busy.take());
     }
-    let mut orders = cell.repeat(now());
+    let mut orders = cell.resend(now());
     // The flush task sends them too, but not during an append: while the store is unreachable, stops and speed limits
     // would wait for it.
     orders.append(&mut cell.orders());
--- a/crates/front/src/tickets.rs
+++ b/crates/front/src/tickets.rs
@@ -40,7 +40,7 @@
             allowed.inspect_err(|e| warn!("event=tickets-failed step={name} reason=\"{e}\"")).ok()
         }
     };
-    owned.state().answered(question, allowed, asked_at, now());
+    owned.state().record_answer(question, allowed, asked_at, now());
     owned.wake.notify_one();
 }
 
--- a/crates/load/src/overload/crash.rs
+++ b/crates/load/src/overload/crash.rs
@@ -41,22 +41,22 @@
     pub(super) fn crash(&mut self) {
         let now = self.now;
         let due = self.crashes.due.extract_if(.., |(at, _)| *at <= now).collect::<Vec<_>>();
-        for (_, life) in due {
-            if let Some(machine) = self.machines.remove(&life) {
+        for (_, incarnation) in due {
+            if let Some(machine) = self.machines.remove(&incarnation) {
                 self.crashes.count += 1;
-                self.cell.hold_failed(&life, now);
-                self.crashes.away.push((now + AWAY, life, machine.listing));
+                self.cell.renewal_failed(&incarnation, now);
+                self.crashes.away.push((now + AWAY, incarnation, machine.listing));
             }
         }
         let back = self.crashes.away.extract_if(.., |(at, ..)| *at <= now).collect::<Vec<_>>();
-        for (at, life, listing) in back {
+        for (at, incarnation, listing) in back {
             // Every other one keeps its id.
             let (id, by) = match (at / STEP).is_multiple_of(2) {
-                true => (life.id().clone(), Successor::Restarted(now)),
+                true => (incarnation.id().clone(), Successor::Restarted(now)),
                 false => (format!("w{}-{now}", listing.address.port()).into(), Successor::Other),
             };
             // Calls to the one that crashed reach whoever is there by now.
-            self.cell.replaced(&life, by, now);
+            self.cell.replaced(&incarnation, by, now);
             let listing = Listing { written: now, start: now, ..listing };
             self.machines.insert(Incarnation::new(id, now), Machine::new(listing));
         }
--- a/crates/load/src/overload/fleet.rs
+++ b/crates/load/src/overload/fleet.rs
@@ -42,7 +42,7 @@
             if let Pattern::Empty { at, span } = *pattern {
                 self.emptied = (millis(at)..millis(at + span)).contains(&now).then_some(CENTRES[0]);
                 let centres = self.emptied.map(String::from).into_iter().collect();
-                self.cell.empty_centres(&centres);
+                self.cell.evacuate_centres(&centres);
             }
             let Pattern::Leave { at, share, back } = *pattern else {
                 continue;
@@ -58,7 +58,7 @@
                     self.machines.iter().filter(|(_, m)| gone(m)).map(|(n, _)| n.clone()).collect();
                 for name in names {
                     self.machines.remove(&name);
-                    self.cell.unlist(name.id(), now);
+                    self.cell.remove_listing(name.id(), now);
                     self.cell.replaced(&name, Successor::Other, now);
                 }
             }
--- a/crates/load/src/overload/sim.rs
+++ b/crates/load/src/overload/sim.rs
@@ -6,7 +6,7 @@
 use rand_chacha::ChaCha8Rng;
 
 use myrtle_job::{Incarnation, JobId, State, Submission, Successor, Told};
-use myrtle_owner::{Batch, Bounds, Cell, Order, Outcome as Answer};
+use myrtle_owner::{Batch, Cell, Order, Outcome as Answer, TimeLimits};
 
 use super::crash::Crashes;
 use super::credit::{Account, share, worth};
@@ -91,7 +91,7 @@
 
 impl<'a> Sim<'a> {
     fn new(scene: &'a Scene, rng: &mut ChaCha8Rng) -> Self {
-        let mut cell = Cell::new(Bounds::default(), 1, 0);
+        let mut cell = Cell::new(TimeLimits::default(), 1, 0);
         cell.loaded = true;
         let mut sim = Self {
             scene,
@@ -122,11 +122,11 @@
         let silent = self.scene.silent(now as f64 / 1_000.0);
         self.report(silent);
         if (now / STEP).is_multiple_of(LOOK) {
-            self.cell.lapse(now);
-            self.cell.evacuate(now);
-            self.cell.guard_all(now);
+            self.cell.expire(now);
+            self.cell.drain_leaving(now);
+            self.cell.throttle_all(now);
             self.cell.give_up(now, now);
-            let again = self.cell.repeat(now);
+            let again = self.cell.resend(now);
             self.carry_out_all(again);
         }
         while self.cell.plan(now) {}
@@ -146,15 +146,15 @@
         }
         for (at, (name, machine)) in self.machines.iter_mut().enumerate() {
             if !silent {
-                self.cell.list(name.id(), machine.listing.clone(), now);
+                self.cell.apply_listing(name.id(), machine.listing.clone(), now);
             }
             let due = (now / STEP + at as u64).is_multiple_of(REPORT);
             if !due && !machine.news {
                 continue;
             }
-            let seen = self.cell.hold_args(name, now).map_or(0, |args| args.seen);
+            let seen = self.cell.renewal_args(name, now).map_or(0, |args| args.logged_ends);
             let held = machine.hold(seen, now, &self.presses);
-            self.cell.held(name, held, now, now, now);
+            self.cell.renewed(name, held, now, now, now);
         }
     }
 
@@ -191,7 +191,7 @@
                 machine.stop(*task, *run);
                 Told::Done
             }
-            Order::Pace { task, run, percent, .. } => {
+            Order::Throttle { task, run, percent, .. } => {
                 machine.pace(*task, *run, *percent);
                 Told::Done
             }
@@ -199,19 +199,19 @@
         if let (Order::Start { worker, task, .. }, Told::Done) = (order, told) {
             self.begun(worker, *task);
         }
-        self.tell(order, Answer::Told(told));
+        self.tell(order, Answer::Replied(told));
     }
 
     fn tell(&mut self, order: &Order, answer: Answer) {
         let now = self.now;
         match order {
             Order::Start { worker, task, run, .. } => {
-                self.cell.start_told(worker, *task, *run, answer, now);
+                self.cell.start_replied(worker, *task, *run, answer, now);
             }
             Order::Stop { worker, task, run } => {
-                self.cell.stop_told(worker, *task, *run, answer, now);
+                self.cell.stop_replied(worker, *task, *run, answer, now);
             }
-            Order::Pace { .. } => {}
+            Order::Throttle { .. } => {}
         }
     }
 
@@ -226,7 +226,7 @@
         if now.is_multiple_of(SLOT) {
             self.pay_lasting();
         }
-        self.waiting = self.waiting.max(self.cell.gist().waiting);
+        self.waiting = self.waiting.max(self.cell.summary().waiting);
     }
 
     fn pay_lasting(&mut self) {
--- a/crates/load/src/placing/sim.rs
+++ b/crates/load/src/placing/sim.rs
@@ -4,8 +4,8 @@
 
 use myrtle_base::Millis;
 use myrtle_place::{
-    Act, BestFit, FirstFit, Fleet, Learned, LeastLoaded, Machine, Neighbour, Placer, Relief,
-    Sample, Want,
+    Action, BestFit, FirstFit, Fleet, Learned, LeastLoaded, Machine, Neighbour, Placer, Relief,
+    Sample, TaskRequest,
 };
 
 use super::world::{Coming, EVERY, KINDS, LAG, SERVICES, Site, Truth, WORKER};
@@ -91,7 +91,7 @@
         free: WORKER,
         rack: n as u32 / 8,
         service: truth.service(n),
-        up: true,
+        accepting: true,
         ..Machine::default()
     };
     let machines = (0..site.workers).map(machine).collect();
@@ -146,16 +146,16 @@
         let mut misses = 0;
         let mut kept = VecDeque::new();
         while let Some(task) = self.pending.pop_front() {
-            let want = Want {
+            let request = TaskRequest {
                 room: task.coming.room,
                 kind: task.coming.kind,
                 avoid: task.avoid,
                 urgent: false,
                 group: 0,
             };
-            match self.choose(&want).filter(|_| misses < MISSES) {
+            match self.choose(&request).filter(|_| misses < MISSES) {
                 Some(worker) => {
-                    self.fleet.machines[worker as usize].add(&want.room, want.kind);
+                    self.fleet.machines[worker as usize].add(&request.room, request.kind);
                     self.running[worker as usize].push(task);
                 }
                 None => {
@@ -171,23 +171,24 @@
         self.pending = kept;
     }
 
-    fn choose(&mut self, want: &Want) -> Option<u32> {
+    fn choose(&mut self, request: &TaskRequest) -> Option<u32> {
         match self.policy {
-            Policy::Learned | Policy::NoLearning => self.learned.place(&self.fleet, want),
-            Policy::FirstFit => FirstFit.place(&self.fleet, want),
-            Policy::LeastLoaded => LeastLoaded.place(&self.fleet, want),
+            Policy::Learned | Policy::NoLearning => self.learned.place(&self.fleet, request),
+            Policy::FirstFit => FirstFit.place(&self.fleet, request),
+            Policy::LeastLoaded => LeastLoaded.place(&self.fleet, request),
             Policy::BestFit(cap) => {
-                let at = BestFit.place(&self.capped(want, cap), want)?;
+                let at = BestFit.place(&self.capped(request, cap), request)?;
                 Some(at)
             }
         }
     }
 
     /// The fleet without the machines that the task would fill beyond the cap.
-    fn capped(&self, want: &Want, cap: f64) -> Fleet {
+    fn capped(&self, request: &TaskRequest, cap: f64) -> Fleet {
         let mut fleet = self.fleet.clone();
         for machine in &mut fleet.machines {
-            machine.up &= machine.filled() + want.room.share(&machine.room) <= cap + 1e-9;
+            machine.accepting &=
+                machine.used_share() + request.room.share(&machine.room) <= cap + 1e-9;
         }
         fleet
     }
@@ -213,7 +214,7 @@
     fn measure(&mut self, worker: usize, now: u64) {
         let mut parts = [0.0; KINDS];
         for task in &self.running[worker] {
-            let part = self.fleet.machines[worker].part(&task.coming.room);
+            let part = self.fleet.machines[worker].cpu_share(&task.coming.room);
             parts[task.coming.kind as usize] += part * f64::from(task.percent) / 100.0;
         }
         let tail = self.truth.tail(worker, now, &parts);
@@ -224,15 +225,16 @@
         let tail = self.truth.measured(tail);
         let parts = parts.iter().enumerate().filter(|p| *p.1 > 0.0);
         let parts = parts.map(|(k, p)| (k as u16, *p)).collect();
-        let sample = Sample { service: self.truth.service(worker), parts, tail };
+        let sample =
+            Sample { service: self.truth.service(worker), shares: parts, tail_ratio: tail };
         self.late.push_back(Late { due: now + LAG, worker, sample });
     }
 
     /// A measurement is told: learn, then relieve.
     fn told(&mut self, late: Late) {
-        self.fleet.machines[late.worker].tail = late.sample.tail;
+        self.fleet.machines[late.worker].tail_ratio = late.sample.tail_ratio;
         match self.policy {
-            Policy::Learned => self.learned.learn(&late.sample),
+            Policy::Learned => self.learned.update(&late.sample),
             Policy::NoLearning => {}
             // The baselines only place.
             _ => return,
@@ -244,25 +246,25 @@
             .map(|t| Neighbour {
                 id: t.id,
                 price: t.coming.price,
-                harm: self.learned.costs().of(service, t.coming.kind)
-                    * machine.part(&t.coming.room),
-                lost: Millis(((t.done - t.kept) * 1000.0) as u64),
+                slowdown: self.learned.costs().cost(service, t.coming.kind)
+                    * machine.cpu_share(&t.coming.room),
+                unsaved: Millis(((t.done - t.kept) * 1000.0) as u64),
                 watcher: t.coming.work.is_none(),
             })
             .collect();
-        if let Some(act) = self.relief[late.worker].seen(late.sample.tail, &neighbours) {
+        if let Some(act) = self.relief[late.worker].observe(late.sample.tail_ratio, &neighbours) {
             self.act(late.worker, act);
         }
     }
 
-    fn act(&mut self, worker: usize, act: Act) {
+    fn act(&mut self, worker: usize, act: Action) {
         let running = &mut self.running[worker];
-        let (Act::Throttle(id, _) | Act::Free(id) | Act::Evict(id)) = act;
+        let (Action::Throttle(id, _) | Action::Lift(id) | Action::Evict(id)) = act;
         let Some(at) = running.iter().position(|t| t.id == id) else { return };
         match act {
-            Act::Throttle(_, percent) => running[at].percent = percent,
-            Act::Free(_) => running[at].percent = 100,
-            Act::Evict(_) => {
+            Action::Throttle(_, percent) => running[at].percent = percent,
+            Action::Lift(_) => running[at].percent = 100,
+            Action::Evict(_) => {
                 let mut task = running.remove(at);
                 self.fleet.machines[worker].remove(&task.coming.room, task.coming.kind);
                 self.outcome.evictions += 1;
--- a/crates/load/src/slopes.rs
+++ b/crates/load/src/slopes.rs
@@ -10,7 +10,7 @@
 use myrtle_cell::{Batch, Cell, End, Keep, Op, Record, Spec, TaskId, Unit};
 use myrtle_config::{Change, Config, ConfigRecord, Desired, Job, WhenCut};
 use myrtle_peer::{GateSeen, Peering, Pulse, UpstreamView, WorkerLoad};
-use myrtle_place::{Fleet, Learned, Machine, Placer, Want};
+use myrtle_place::{Fleet, Learned, Machine, Placer, TaskRequest};
 use myrtle_platform::{Report, RunState, Start, SyncReply, SyncRequest, TaskUse, UsageReport};
 use myrtle_route::{Ask, Offer};
 
@@ -132,8 +132,8 @@
         free: Room::new(14.0, 55_000, 0),
         rack: n / 8,
         kinds: (0..12).map(|k| (k, 1_500)).collect(),
-        tail: 0.6,
-        up: true,
+        tail_ratio: 0.6,
+        accepting: true,
         ..Machine::default()
     };
     let mut fleet = Fleet { machines: (0..1_400).map(machine).collect() };
@@ -142,9 +142,9 @@
     let mut placed = 0;
     for n in 0..20_000_u32 {
         let (kind, room) = ((n % 12) as u16, Room::new(0.5, 2_000, 0));
-        let want = Want { room, kind, avoid: None, urgent: true, group: 0 };
-        if let Some(at) = placer.place(&fleet, &want) {
-            fleet.machines[at as usize].add(&want.room, want.kind);
+        let request = TaskRequest { room, kind, avoid: None, urgent: true, group: 0 };
+        if let Some(at) = placer.place(&fleet, &request) {
+            fleet.machines[at as usize].add(&request.room, request.kind);
             placed += 1;
         }
     }
--- a/crates/owner/benches/plan.rs
+++ b/crates/owner/benches/plan.rs
@@ -8,7 +8,7 @@
 use myrtle_job::{
     Held, Incarnation, JobId, JobSpec, Listing, Policy, Running, StepSpec, Submission, Told,
 };
-use myrtle_owner::{Bounds, Cell, Order, Outcome};
+use myrtle_owner::{Cell, Order, Outcome, TimeLimits};
 
 /// The number of workers, each with 32 cores.
 const WORKERS: u16 = 350;
@@ -27,7 +27,7 @@
 }
 
 fn cell() -> Cell {
-    let mut cell = Cell::new(Bounds::default(), 1, 1_000);
+    let mut cell = Cell::new(TimeLimits::default(), 1, 1_000);
     cell.loaded = true;
     for n in 0..WORKERS {
         let listing = Listing {
@@ -43,9 +43,9 @@
             cold: 0,
             start: 0,
         };
-        cell.list(incarnation(n).id(), listing, 1_000);
+        cell.apply_listing(incarnation(n).id(), listing, 1_000);
         let held = Held { start: 0, clock: 1_000, running: vec![], ended: vec![] };
-        cell.held(&incarnation(n), held, 1_000, 1_000, 1_000);
+        cell.renewed(&incarnation(n), held, 1_000, 1_000, 1_000);
     }
     cell
 }
@@ -100,7 +100,7 @@
     let starts = cell.committed(batch, now);
     for order in &starts {
         if let Order::Start { worker, task, run, .. } = order {
-            cell.start_told(worker, *task, *run, Outcome::Told(Told::Done), now);
+            cell.start_replied(worker, *task, *run, Outcome::Replied(Told::Done), now);
         }
     }
     starts.len()
@@ -110,7 +110,7 @@
 fn report(cell: &mut Cell, now: u64) {
     let mut running: BTreeMap<Incarnation, Vec<Running>> = BTreeMap::new();
     for (incarnation, worker) in &cell.workers {
-        let rows = worker.flights.iter().map(|(&task, active)| Running {
+        let rows = worker.active_runs.iter().map(|(&task, active)| Running {
             task,
             run: active.run,
             saved: String::new(),
@@ -120,7 +120,7 @@
         running.insert(incarnation.clone(), rows.collect());
     }
     for (incarnation, running) in running {
-        cell.held(
+        cell.renewed(
             &incarnation,
             Held { start: 0, clock: now, running, ended: vec![] },
             now,
@@ -166,7 +166,7 @@
         b.iter(|| {
             now += 100;
             while cell.plan(now) {}
-            black_box(cell.restless())
+            black_box(cell.has_work())
         });
     });
     group.bench_function("reports_of_a_full_cell", |b| {
--- a/crates/owner/src/cell.rs
+++ b/crates/owner/src/cell.rs
@@ -11,7 +11,7 @@
 use crate::placing::unplaceable::Unplaceable;
 use crate::workers::crash::Silence;
 use crate::workers::wave::WaveState;
-use crate::{Bounds, Harm, Job, Order, Question, Swings, Worker};
+use crate::{InterferenceModel, Job, LoadCycles, Order, Question, TimeLimits, Worker};
 
 /// Counts of events since this owner began.
 #[derive(Debug, Default, Clone, Copy, PartialEq, Eq)]
@@ -29,31 +29,31 @@
     /// Runs that were lost with their workers or leases.
     pub lost: u64,
     /// Speed limits that were set.
-    pub paced: u64,
+    pub throttled: u64,
     /// Workers that restarted under the same id.
     pub restarts: u64,
     /// Jobs that were given up because a task of theirs crashed its workers.
-    pub crashers: u64,
+    pub given_up: u64,
 }
 
 /// The state and plans of a cell's owner.
 #[derive(Debug)]
 pub struct Cell {
     /// The deployment's limits.
-    pub bounds: Bounds,
+    pub limits: TimeLimits,
     /// The fencing token on every order.
     pub fence: u64,
     /// The cell's number.
     pub number: u32,
     /// When this owner took over.
-    pub began: u64,
+    pub began_at: u64,
     /// When this owner's host learned that the owners below some fencing tokens had ended, by
     /// token.
-    pub ended: BTreeMap<u64, u64>,
+    pub ended_owners: BTreeMap<u64, u64>,
     /// The fencing tokens of earlier owners that may have granted leases.
-    pub(crate) earlier: BTreeSet<u64>,
+    pub(crate) earlier_owners: BTreeSet<u64>,
     /// Whether there is no other cell to transfer jobs to.
-    pub alone: bool,
+    pub only_cell: bool,
     /// Whether the log has been read up to its end at the takeover.
     pub loaded: bool,
     /// The jobs by id.
@@ -61,17 +61,17 @@
     /// The workers by incarnation.
     pub workers: BTreeMap<Incarnation, Worker>,
     /// The interference model.
-    pub harm: Harm,
+    pub interference: InterferenceModel,
     /// The load forecasts of serving steps.
-    pub swings: Swings,
+    pub load_cycles: LoadCycles,
     /// Counts of events.
     pub counts: Counts,
     /// Evacuated data centres.
-    pub(crate) emptied: BTreeSet<String>,
+    pub(crate) evacuated: BTreeSet<String>,
     /// Workers that went silent recently.
     pub(crate) silences: Vec<Silence>,
     /// Tasks that have crashed too many workers, until their jobs are ended.
-    pub(crate) doomed: BTreeSet<TaskId>,
+    pub(crate) given_up_tasks: BTreeSet<TaskId>,
     /// Kinds of tasks that found no worker in this pass.
     pub(crate) unplaceable: Vec<Unplaceable>,
     /// Progress of the pass over the waiting tasks.
@@ -81,17 +81,17 @@
     /// The mean work of the jobs of each queue.
     pub(crate) mean_work: MeanWork,
     /// When the list of workers was last unreadable.
-    pub(crate) blind: u64,
+    pub(crate) unreadable_at: u64,
     /// The loads that other cells reported.
     pub(crate) cell_loads: BTreeMap<u32, CellLoad>,
     /// Records to be put into other cells' logs.
-    pub(crate) due: Vec<Key>,
+    pub(crate) to_deliver: Vec<Key>,
     /// Records being sent there.
     pub(crate) sending: BTreeSet<Key>,
     /// Records of removed jobs to be dropped from the log.
-    pub(crate) drops: Vec<Key>,
+    pub(crate) removals: Vec<Key>,
     /// When loads were last forecast.
-    pub(crate) foreseen: u64,
+    pub(crate) forecast_at: u64,
     /// Jobs with tasks that may have to be placed.
     pub(crate) open: BTreeSet<JobId>,
     /// Jobs that changed since the last batch.
@@ -109,38 +109,38 @@
     /// Jobs that were cancelled before they were known.
     pub(crate) early_cancels: HashMap<JobId, EarlyCancel>,
     /// Incarnations of workers whose descriptions the log need not hold any more.
-    pub(crate) untraced: Vec<Incarnation>,
+    pub(crate) obsolete_records: Vec<Incarnation>,
 }
 
 impl Cell {
     /// A cell without jobs or workers, taken over at `now`.
-    pub fn new(bounds: Bounds, fence: u64, now: u64) -> Self {
+    pub fn new(limits: TimeLimits, fence: u64, now: u64) -> Self {
         Self {
-            bounds,
+            limits,
             fence,
             number: 0,
-            began: now,
-            ended: BTreeMap::new(),
-            earlier: BTreeSet::new(),
-            alone: true,
+            began_at: now,
+            ended_owners: BTreeMap::new(),
+            earlier_owners: BTreeSet::new(),
+            only_cell: true,
             loaded: false,
             jobs: HashMap::new(),
             workers: BTreeMap::new(),
-            harm: Harm::default(),
-            swings: Swings::default(),
-            emptied: BTreeSet::new(),
+            interference: InterferenceModel::default(),
+            load_cycles: LoadCycles::default(),
+            evacuated: BTreeSet::new(),
             silences: Vec::new(),
-            doomed: BTreeSet::new(),
+            given_up_tasks: BTreeSet::new(),
             unplaceable: Vec::new(),
             pass: Pass::default(),
             short_share: ShortShare::new(now),
             mean_work: MeanWork::default(),
-            blind: now,
+            unreadable_at: now,
             cell_loads: BTreeMap::new(),
-            due: Vec::new(),
+            to_deliver: Vec::new(),
             sending: BTreeSet::new(),
-            drops: Vec::new(),
-            foreseen: 0,
+            removals: Vec::new(),
+            forecast_at: 0,
             counts: Counts::default(),
             open: BTreeSet::new(),
             dirty: BTreeSet::new(),
@@ -150,32 +150,32 @@
             waves: BTreeMap::new(),
             questions: Vec::new(),
             early_cancels: HashMap::new(),
-            untraced: Vec::new(),
+            obsolete_records: Vec::new(),
         }
     }
 
     /// The state of a job that the log holds, which clients see.
     pub fn state(&self, id: JobId) -> Option<State> {
-        self.jobs.get(&id).map(|j| j.shown)
+        self.jobs.get(&id).map(|j| j.logged_state)
     }
 
     /// The number of jobs of each queue that have not begun.
     pub fn pending(&self) -> BTreeMap<&str, u64> {
         let mut counts = BTreeMap::new();
         let here = self.jobs.values().filter(|j| j.progress.moved.is_none());
-        for job in here.filter(|j| j.shown == State::Queued) {
+        for job in here.filter(|j| j.logged_state == State::Queued) {
             *counts.entry(&*job.submission.policy.queue).or_default() += 1;
         }
         counts
     }
 
     /// Whether no change waits to be written.
-    pub fn idle(&self) -> bool {
-        self.dirty.is_empty() && self.workers.values().all(|w| w.taken <= w.noted)
+    pub fn flushed(&self) -> bool {
+        self.dirty.is_empty() && self.workers.values().all(|w| w.received_ends <= w.logged_ends)
     }
 
     /// Whether anything waits to be placed, written or sent.
-    pub fn restless(&self) -> bool {
-        !self.open.is_empty() || !self.orders.is_empty() || !self.idle()
+    pub fn has_work(&self) -> bool {
+        !self.open.is_empty() || !self.orders.is_empty() || !self.flushed()
     }
 }
--- a/crates/owner/src/disruption/forecast.rs
+++ b/crates/owner/src/disruption/forecast.rs
@@ -1,11 +1,11 @@
 //! The load forecast of a serving image on a worker, and how fast fillers could run beside it.
 //!
-//! Pressures run from 0 to 1, see harm.rs.
+//! Pressures run from 0 to 1, see interference.rs.
 
 use std::sync::Arc;
 
-use crate::Harm;
-use crate::disruption::harm::LIMIT;
+use crate::InterferenceModel;
+use crate::disruption::interference::LIMIT;
 
 /// The times for which loads are forecast, in milliseconds from now; most fillers run about as long
 /// as the last of these times.
@@ -63,10 +63,10 @@
     }
 
     /// Adds a filler that uses a share of the worker.
-    pub(crate) fn count(&mut self, harm: &Harm, filler: &str, share: f64) {
-        let rise = harm.rise(&self.image, filler, share);
+    pub(crate) fn count(&mut self, interference: &InterferenceModel, filler: &str, share: f64) {
+        let rise = interference.added_pressure(&self.image, filler, share);
         self.beside += rise;
-        if is_light(harm, &self.image, filler) {
+        if is_light(interference, &self.image, filler) {
             self.light += rise;
         }
     }
@@ -84,8 +84,8 @@
 }
 
 /// Whether a filler image is light beside a serving image.
-pub(crate) fn is_light(harm: &Harm, image: &str, filler: &str) -> bool {
-    harm.rise(image, filler, 1.0) < LIGHT
+pub(crate) fn is_light(interference: &InterferenceModel, image: &str, filler: &str) -> bool {
+    interference.added_pressure(image, filler, 1.0) < LIGHT
 }
 
 /// The share of their speed that light fillers keep beside a load, where `rise` is the pressure
--- a/crates/owner/src/disruption/headroom.rs
+++ b/crates/owner/src/disruption/headroom.rs
@@ -1,11 +1,11 @@
 //! How much pressure fillers may add to the serving tasks beside them.
 //!
-//! Pressures run from 0 to 1, see harm.rs.
+//! Pressures run from 0 to 1, see interference.rs.
 
 use std::sync::Arc;
 
 use crate::disruption::forecast::light_limit_at;
-use crate::disruption::harm::LIMIT;
+use crate::disruption::interference::LIMIT;
 use crate::{Cell, Worker};
 
 /// How far below its limit a pressure is kept after a report showed it above: the scatter of a
@@ -43,15 +43,15 @@
     /// The pressure that fillers may add to each serving image of a worker.
     pub(crate) fn headrooms<'a>(&self, worker: &'a Worker, now: u64) -> Vec<Headroom<'a>> {
         let settled = now >= worker.throttled_at + SETTLE_MS;
-        let headrooms = worker.outlooks.iter().map(|forecast| {
+        let headrooms = worker.forecasts.iter().map(|forecast| {
             let image = &forecast.image;
             let expected = LIMIT - FORECAST_MARGIN - forecast.highest(HORIZON_MS);
             let seen = highest_over(worker, image, now).filter(|_| settled);
             // A reported pressure takes precedence over the forecast.
             let seen = seen.map_or(expected, |pressure| {
-                let beside = worker
-                    .fillers()
-                    .map(|(_, f)| self.pressure_of(worker, image, f) * f64::from(f.pace) / 100.0);
+                let beside = worker.fillers().map(|(_, f)| {
+                    self.pressure_of(worker, image, f) * f64::from(f.speed_limit) / 100.0
+                });
                 beside.sum::<f64>() + LIMIT - REPORT_MARGIN - pressure
             });
             Headroom { image, left: expected.min(seen) }
@@ -61,7 +61,7 @@
 
     /// The share of their speed that all light fillers of a worker keep together.
     pub(crate) fn light_limit(&self, worker: &Worker) -> f64 {
-        let limits = worker.outlooks.iter().map(|forecast| {
+        let limits = worker.forecasts.iter().map(|forecast| {
             let light = worker.fillers().filter(|(_, f)| self.is_light(&forecast.image, f));
             let rise: f64 = light.map(|(_, f)| self.pressure_of(worker, &forecast.image, f)).sum();
             light_limit_at(forecast.highest(HORIZON_MS), rise)
@@ -73,7 +73,7 @@
 /// The highest reported pressure of the image's tasks that have exceeded their target for longer
 /// than a spike.
 fn highest_over(worker: &Worker, image: &Arc<str>, now: u64) -> Option<f64> {
-    let tasks = worker.flights.values().filter(|f| f.image.as_ref() == Some(image));
-    let over = tasks.filter(|f| f.over.is_some_and(|since| now >= since + SPIKE_MS));
+    let tasks = worker.active_runs.values().filter(|f| f.image.as_ref() == Some(image));
+    let over = tasks.filter(|f| f.over_since.is_some_and(|since| now >= since + SPIKE_MS));
     over.filter_map(|f| f.pressure).max_by(f64::total_cmp)
 }
--- a/crates/owner/src/disruption/harm.rs
+++ b/crates/owner/src/disruption/interference.rs
@@ -12,7 +12,7 @@
 
 use crate::disruption::learned::Estimate;
 use crate::disruption::model::{DEFAULT_COEFFICIENT, ImageModel, PRIOR_VARIANCE};
-use crate::disruption::sine::Guess;
+use crate::disruption::sine::Prediction;
 
 /// The ratio of tail latency to target that a task without load is assumed to have. It only sets
 /// the scale: another value scales pressures and their limit alike.
@@ -42,7 +42,7 @@
 
 /// The coefficients of all pairs of filler and serving images.
 #[derive(Debug, Default, Clone)]
-pub struct Harm {
+pub struct InterferenceModel {
     /// The index of each filler image in the models.
     indices: BTreeMap<Arc<str>, usize>,
     /// The model of each serving image.
@@ -54,15 +54,15 @@
     (1.0 - BASE_RATIO / ratio.max(1e-3)).clamp(0.0, MAX_PRESSURE)
 }
 
-impl Harm {
+impl InterferenceModel {
     /// The pressure that the fillers' usage is expected to add to a serving image.
-    pub fn pressed(&self, image: &str, uses: &Usage) -> Guess {
+    pub fn expected_pressure(&self, image: &str, uses: &Usage) -> Prediction {
         let mean = uses.iter().map(|(name, used)| self.coefficient(image, name) * used).sum();
         let variance = match self.models.get(image) {
             Some(model) => model.variance(&self.usage_row(uses, model.size())),
             None => uses.values().map(|used| PRIOR_VARIANCE * used * used).sum(),
         };
-        Guess { mean, variance }
+        Prediction { mean, variance }
     }
 
     /// Updates the model with the pressure that a tail latency showed beyond its task's own load,
@@ -80,7 +80,7 @@
     }
 
     /// The pressure that a filler image adds to a serving image when it uses `share` of a worker.
-    pub fn rise(&self, image: &str, filler: &str, share: f64) -> f64 {
+    pub fn added_pressure(&self, image: &str, filler: &str, share: f64) -> f64 {
         self.coefficient(image, filler).max(0.0) * share
     }
 
@@ -117,7 +117,7 @@
 
     /// How different two serving images are: 0 if the same fillers slow both, 1 if other fillers do
     /// or too little is known.
-    pub fn unlike(&self, a: &str, b: &str) -> f64 {
+    pub fn dissimilarity(&self, a: &str, b: &str) -> f64 {
         if a == b {
             return 0.0;
         }
--- a/crates/owner/src/disruption/learn.rs
+++ b/crates/owner/src/disruption/learn.rs
@@ -3,8 +3,8 @@
 
 use myrtle_job::Incarnation;
 
-use crate::disruption::harm::{NOISE, Usage, pressure};
-use crate::{Cell, Flight, Worker};
+use crate::disruption::interference::{NOISE, Usage, pressure};
+use crate::{ActiveRun, Cell, Worker};
 
 /// The time that a report covers, in milliseconds; set by the platform.
 const WINDOW_MS: u64 = 500;
@@ -34,21 +34,21 @@
         let usage = filler_usage(worker);
         let noise = NOISE + (CHANGE_NOISE * usage_change(&worker.usage, &usage)).powi(2);
         let mid_window = now.saturating_sub(WINDOW_MS / 2);
-        for (&task, active) in &mut worker.flights {
+        for (&task, active) in &mut worker.active_runs {
             active.update_pressure(now);
             let (Some(shown), Some(image)) = (active.pressure, &active.image) else {
                 continue;
             };
-            let load = self.swings.guess(task, mid_window);
-            let added = self.harm.pressed(image, &usage);
-            self.harm.learn(image, shown - load.mean, load.variance + noise, &usage);
-            self.swings.see(task, mid_window, shown - added.mean, added.variance + noise);
+            let load = self.load_cycles.predict(task, mid_window);
+            let added = self.interference.expected_pressure(image, &usage);
+            self.interference.learn(image, shown - load.mean, load.variance + noise, &usage);
+            self.load_cycles.observe(task, mid_window, shown - added.mean, added.variance + noise);
         }
         worker.usage = usage;
     }
 }
 
-impl Flight {
+impl ActiveRun {
     /// Computes the pressure from the reported tail latency, if the task serves requests and is
     /// ready.
     fn update_pressure(&mut self, now: u64) {
@@ -57,15 +57,15 @@
         };
         if self.percent < 100.0 || self.figure <= 0.0 {
             self.pressure = None;
-            self.over = None;
+            self.over_since = None;
             return;
         }
         let ratio = self.figure / f64::from(target);
         self.pressure = Some(pressure(ratio));
-        self.over = match ratio {
-            _ if ratio > 1.0 => self.over.or(Some(now)),
+        self.over_since = match ratio {
+            _ if ratio > 1.0 => self.over_since.or(Some(now)),
             // Reports scatter: a little below the target is not below it for certain.
-            _ if ratio > SURELY_BELOW => self.over,
+            _ if ratio > SURELY_BELOW => self.over_since,
             _ => None,
         };
     }
@@ -75,7 +75,7 @@
 fn filler_usage(worker: &Worker) -> Usage {
     let size = worker.size();
     let mut usage = Usage::new();
-    for active in worker.flights.values().filter(|f| f.filler && f.figure > 0.0) {
+    for active in worker.active_runs.values().filter(|f| f.filler && f.figure > 0.0) {
         if let Some(image) = &active.image {
             *usage.entry(image.clone()).or_default() += active.figure / size;
         }
--- a/crates/owner/src/disruption/learned.rs
+++ b/crates/owner/src/disruption/learned.rs
@@ -43,12 +43,12 @@
     /// The encoded model that this owner has learned; none before the first report of interference.
     ///
     /// `now` is the host's steady clock, `wall` the time of day, both in milliseconds.
-    pub fn lessons(&self, now: u64, wall: u64) -> Option<Vec<u8>> {
-        let (fillers, images) = (self.harm.fillers(), self.harm.images());
+    pub fn learned_model(&self, now: u64, wall: u64) -> Option<Vec<u8>> {
+        let (fillers, images) = (self.interference.fillers(), self.interference.images());
         if images.is_empty() {
             return None;
         }
-        Some(encode(&LearnedModel { fillers, images, loads: self.swings.learned(now, wall) }))
+        Some(encode(&LearnedModel { fillers, images, loads: self.load_cycles.learned(now, wall) }))
     }
 
     /// Restores the model that an earlier owner has learned.
@@ -57,13 +57,13 @@
     ///
     /// The bytes can't be decoded as a model of this program's version; the state is unchanged
     /// then.
-    pub fn recall(&mut self, bytes: &[u8], now: u64, wall: u64) -> Result<(), RecordError> {
+    pub fn restore_model(&mut self, bytes: &[u8], now: u64, wall: u64) -> Result<(), RecordError> {
         let model: LearnedModel = decode(bytes)?;
-        self.harm.restore(model.fillers, model.images);
-        self.swings.restore(model.loads, now, wall);
+        self.interference.restore(model.fillers, model.images);
+        self.load_cycles.restore(model.loads, now, wall);
         // A job may have ended since the model was written.
         let over = |id| self.jobs.get(&id).is_none_or(|j| j.progress.state.over());
-        self.swings.retain(|id| !over(id));
+        self.load_cycles.retain(|id| !over(id));
         Ok(())
     }
 }
--- a/crates/owner/src/disruption/swing.rs
+++ b/crates/owner/src/disruption/load_cycle.rs
@@ -11,7 +11,7 @@
 use myrtle_job::{JobId, TaskId};
 
 use crate::disruption::learned::LearnedLoads;
-use crate::disruption::sine::{Fit, Guess};
+use crate::disruption::sine::{Fit, Prediction};
 use crate::placing::step::{StepKey, step_of};
 
 /// The shortest period that is fitted, in seconds; shorter cycles pass within a filler's run.
@@ -32,7 +32,7 @@
 
 /// The load cycles of a cell's serving steps.
 #[derive(Debug, Clone)]
-pub struct Swings {
+pub struct LoadCycles {
     /// The prediction error of each period: the larger, the less likely it made the reported loads.
     errors: [f64; PERIODS],
     /// How far the clock of the load cycles is ahead of the host's steady clock, in milliseconds.
@@ -52,7 +52,7 @@
     reported_at: u64,
 }
 
-impl Default for Swings {
+impl Default for LoadCycles {
     fn default() -> Self {
         Self {
             errors: [0.0; PERIODS],
@@ -63,17 +63,17 @@
     }
 }
 
-impl Swings {
+impl LoadCycles {
     /// The forecast load of a task; `at` is in milliseconds of the steady clock.
-    pub fn guess(&self, task: TaskId, at: u64) -> Guess {
+    pub fn predict(&self, task: TaskId, at: u64) -> Prediction {
         let best = self.best();
         let fit = self.steps.get(&step_of(task)).map_or_else(Fit::new, |t| t.fits[best]);
-        fit.guess(basis(best, self.cycle_offset + at as i64))
+        fit.predict(basis(best, self.cycle_offset + at as i64))
     }
 
     /// Updates the cycles with the load that a task of the step showed, and the variance of that
     /// value.
-    pub fn see(&mut self, task: TaskId, at: u64, load: f64, variance: f64) {
+    pub fn observe(&mut self, task: TaskId, at: u64, load: f64, variance: f64) {
         let moment = self.cycle_offset + at as i64;
         if self.bases.0 != moment {
             self.bases = all_bases(moment);
--- a/crates/owner/src/disruption/sine.rs
+++ b/crates/owner/src/disruption/sine.rs
@@ -17,7 +17,7 @@
 
 /// A predicted value and its variance.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub struct Guess {
+pub struct Prediction {
     /// The expected value.
     pub mean: f64,
     /// The variance of the true value around it.
@@ -51,9 +51,9 @@
     }
 
     /// The load at a time with the basis `x`: 1, sine and cosine.
-    pub(crate) fn guess(&self, x: [f64; 3]) -> Guess {
+    pub(crate) fn predict(&self, x: [f64; 3]) -> Prediction {
         let cross = self.cross_covariance(x);
-        Guess { mean: dot(&self.theta, &x), variance: dot(&cross, &x).max(0.0) }
+        Prediction { mean: dot(&self.theta, &x), variance: dot(&cross, &x).max(0.0) }
     }
 
     /// Updates the fit with a value; returns the negative log-likelihood that the fit gave it, up
--- a/crates/owner/src/disruption/throttle.rs
+++ b/crates/owner/src/disruption/throttle.rs
@@ -6,7 +6,7 @@
 use myrtle_job::{Incarnation, TaskId};
 
 use crate::disruption::headroom::Headroom;
-use crate::{Cell, Flight, Life, Order, Worker};
+use crate::{ActiveRun, Cell, Order, Presence, Worker};
 
 /// Speed limits are multiples of this, in percent, so that small changes need no order.
 const LIMIT_STEP: u32 = 10;
@@ -52,9 +52,9 @@
     }
 
     /// The same for all workers that answer, with a new forecast.
-    pub fn guard_all(&mut self, now: u64) {
-        self.foresee(now);
-        let answering = self.workers.iter().filter(|(_, w)| w.life == Life::Well);
+    pub fn throttle_all(&mut self, now: u64) {
+        self.forecast_loads(now);
+        let answering = self.workers.iter().filter(|(_, w)| w.presence == Presence::Answering);
         let answering: Vec<Incarnation> =
             answering.map(|(incarnation, _)| incarnation.clone()).collect();
         for incarnation in answering {
@@ -72,10 +72,16 @@
         for (&task, active) in self.by_pressure(worker) {
             let limit =
                 if halt { 0 } else { self.limit_for(worker, active, light, &mut headrooms) };
-            let slower = limit < active.pace;
-            let faster = limit >= active.pace + MIN_RAISE || limit == 100 && active.pace < 100;
+            let slower = limit < active.speed_limit;
+            let faster =
+                limit >= active.speed_limit + MIN_RAISE || limit == 100 && active.speed_limit < 100;
             if slower || active.unconfirmed || faster && over.is_none() {
-                changes.push(LimitChange { task, run: active.run, from: active.pace, limit });
+                changes.push(LimitChange {
+                    task,
+                    run: active.run,
+                    from: active.speed_limit,
+                    limit,
+                });
             }
         }
         changes
@@ -84,7 +90,7 @@
     /// How long a task may exceed its target before all fillers beside it are halted, in
     /// milliseconds.
     fn halt_after(&self) -> u64 {
-        (self.bounds.harm as f64 * HALT_SHARE) as u64
+        (self.limits.throttle_after as f64 * HALT_SHARE) as u64
     }
 
     /// Whether a worker gets no more fillers, since the present ones are about to be halted.
@@ -94,9 +100,9 @@
 
     /// The running fillers of a worker, sorted by the most pressure that they add to any of its
     /// images, lowest first.
-    fn by_pressure<'a>(&self, worker: &'a Worker) -> Vec<(&'a TaskId, &'a Flight)> {
+    fn by_pressure<'a>(&self, worker: &'a Worker) -> Vec<(&'a TaskId, &'a ActiveRun)> {
         let worst = |filler| {
-            let images = worker.outlooks.iter().map(|o| &o.image);
+            let images = worker.forecasts.iter().map(|o| &o.image);
             images.map(|image| self.pressure_of(worker, image, filler)).fold(0.0, f64::max)
         };
         let mut queue: Vec<_> = worker.fillers().map(|(task, f)| (worst(f), task, f)).collect();
@@ -109,7 +115,7 @@
     fn limit_for(
         &self,
         worker: &Worker,
-        active: &Flight,
+        active: &ActiveRun,
         light: f64,
         headrooms: &mut [Headroom<'_>],
     ) -> u32 {
@@ -135,7 +141,7 @@
         };
         let halted: Vec<(TaskId, u32)> = worker
             .fillers()
-            .filter(|(_, f)| f.pace == 0 && now.saturating_sub(f.changed_at) > MOVE_AFTER)
+            .filter(|(_, f)| f.speed_limit == 0 && now.saturating_sub(f.changed_at) > MOVE_AFTER)
             .map(|(&task, f)| (task, f.run))
             .collect();
         for (task, run) in halted {
@@ -143,17 +149,23 @@
                 "event=move task={task} run={run} worker={incarnation} reason=\"no headroom to resume\""
             );
             self.counts.moved += 1;
-            self.halt(incarnation, task, run, now);
+            self.stop_run(incarnation, task, run, now);
         }
     }
 
     /// Notes that a speed limit was not confirmed; it may be in force or not, so it is set again.
-    pub fn pace_unsure(&mut self, incarnation: &Incarnation, task: TaskId, run: u32, percent: u32) {
-        let active = self.workers.get_mut(incarnation).and_then(|w| w.flights.get_mut(&task));
-        if let Some(active) = active.filter(|f| f.run == run && f.pace == percent) {
+    pub fn limit_unconfirmed(
+        &mut self,
+        incarnation: &Incarnation,
+        task: TaskId,
+        run: u32,
+        percent: u32,
+    ) {
+        let active = self.workers.get_mut(incarnation).and_then(|w| w.active_runs.get_mut(&task));
+        if let Some(active) = active.filter(|f| f.run == run && f.speed_limit == percent) {
             active.unconfirmed = true;
             // Until then the filler counts at full speed, the worst case.
-            active.pace = 100;
+            active.speed_limit = 100;
         }
     }
 
@@ -166,11 +178,12 @@
         percent: u32,
         now: u64,
     ) {
-        let Some(active) = self.workers.get_mut(incarnation).and_then(|w| w.flights.get_mut(&task))
+        let Some(active) =
+            self.workers.get_mut(incarnation).and_then(|w| w.active_runs.get_mut(&task))
         else {
             return;
         };
-        let from = std::mem::replace(&mut active.pace, percent);
+        let from = std::mem::replace(&mut active.speed_limit, percent);
         // Most changes are small and frequent.
         let level = if percent == 0 || from == 0 { Level::Info } else { Level::Debug };
         log!(
@@ -179,13 +192,13 @@
         );
         active.unconfirmed = false;
         active.changed_at = now;
-        self.counts.paced += 1;
-        self.orders.push(Order::Pace { worker: incarnation.clone(), task, run, percent });
+        self.counts.throttled += 1;
+        self.orders.push(Order::Throttle { worker: incarnation.clone(), task, run, percent });
     }
 }
 
 /// For how long the worker's tasks have exceeded their targets, in milliseconds: the longest of
 /// them.
 fn over_target_for(worker: &Worker, now: u64) -> Option<u64> {
-    worker.flights.sums().over_since.map(|since| now.saturating_sub(since))
+    worker.active_runs.sums().over_since.map(|since| now.saturating_sub(since))
 }
--- a/crates/owner/src/jobs/admit.rs
+++ b/crates/owner/src/jobs/admit.rs
@@ -5,7 +5,7 @@
 use myrtle_job::{JobId, Key, Progress, Round, State, Submission};
 
 use crate::jobs::offer::Offer;
-use crate::{Cell, Flight, Job, Stage, Worker};
+use crate::{ActiveRun, Cell, Job, Stage, Worker};
 
 /// The longest age of a job by the stamp in its record, in milliseconds; clocks of hosts may jump.
 const MAX_AGE: u64 = 60_000;
@@ -53,8 +53,8 @@
     }
 
     /// Removes jobs that have been over for as long as their state has to be kept.
-    pub fn forget(&mut self, now: u64, wall: u64) {
-        let keep = self.bounds.status + self.bounds.status / 2;
+    pub fn remove_expired(&mut self, now: u64, wall: u64) {
+        let keep = self.limits.status_ttl + self.limits.status_ttl / 2;
         self.expire_cancels(keep, now);
         let is_expired = |j: &Job| {
             let ended = j.progress.ended;
@@ -73,7 +73,7 @@
         };
         let incoming = progress.taken.iter().flat_map(|t| [Key::Part(t.part), Key::Recall(t.part)]);
         let own = (!progress.guest).then_some(Key::Job(id));
-        self.drops.extend(incoming.chain(own));
+        self.removals.extend(incoming.chain(own));
         self.dirty.insert(id);
     }
 
@@ -86,7 +86,7 @@
     }
 
     /// Restores the progress that an earlier owner wrote for a job.
-    pub fn inherit(&mut self, id: JobId, progress: Progress, now: u64) {
+    pub fn restore_progress(&mut self, id: JobId, progress: Progress, now: u64) {
         let Some(job) = self.jobs.get_mut(&id) else {
             if progress.state == State::Cancelled {
                 return self.restore_cancel(id, &progress, now);
@@ -100,7 +100,7 @@
         // The job may have been cancelled before its progress was read.
         let ended = job.progress.ended;
         let cancelled = job.progress.state == State::Cancelled;
-        job.shown = progress.state;
+        job.logged_state = progress.state;
         job.progress = progress;
         let over = job.progress.state.over();
         if over || job.progress.next >= job.submission.spec.rounds() {
@@ -114,14 +114,14 @@
             job.transfer_until = now + Offer::Soon.delay();
         }
         let job = &self.jobs[&id];
-        self.due.extend(self.undelivered(id, job));
+        self.to_deliver.extend(self.undelivered(id, job));
         let given_up = job.progress.crashes.iter().filter(|(_, c)| c.too_many());
-        self.doomed.extend(given_up.map(|(&task, _)| task));
+        self.given_up_tasks.extend(given_up.map(|(&task, _)| task));
         for (task, run) in job.runs(id) {
             let spec = self.jobs[&id].step(task.step);
-            let active = Flight::new(run.number, spec, Stage::Inherited, now);
+            let active = ActiveRun::new(run.number, spec, Stage::Inherited, now);
             let worker = self.workers.entry(run.worker).or_insert_with(|| Worker::new(now));
-            worker.flights.insert(task, active);
+            worker.active_runs.insert(task, active);
         }
         if cancelled {
             self.cancel(id, now, ended);
--- a/crates/owner/src/jobs/balance.rs
+++ b/crates/owner/src/jobs/balance.rs
@@ -15,7 +15,7 @@
 use myrtle_job::{Free, JobId, Load, Moved, TaskId};
 
 use crate::jobs::transfer::waiting;
-use crate::{Cell, Job, Life, Worker};
+use crate::{Cell, Job, Presence, Worker};
 
 /// The least difference in load, as a share of a cell's processors, for which a job is transferred:
 /// half of what a job of 14 tasks takes of a cell of 160 workers.
@@ -69,8 +69,11 @@
         let here = self.jobs.iter().filter(|(_, j)| !j.progress.elsewhere());
         let long_running =
             here.filter(|(_, j)| !j.progress.state.over() && j.submission.spec.lasts());
-        let stays =
-            |w: &&Worker| w.listed && !w.draining() && matches!(w.life, Life::Well | Life::Unmet);
+        let stays = |w: &&Worker| {
+            w.listed
+                && !w.draining()
+                && matches!(w.presence, Presence::Answering | Presence::Unreached)
+        };
         let size = self.workers.values().filter(stays).map(Worker::offered).sum();
         let claimed = long_running.map(|(id, job)| demand(id, job)).sum();
         Load { claimed, size, ..Load::default() }
@@ -89,7 +92,7 @@
         first: impl Fn(&Job, TaskId) -> bool,
         now: u64,
     ) -> Vec<Free> {
-        let open = self.workers.values().filter(|w| w.open(now));
+        let open = self.workers.values().filter(|w| w.accepts_work(now));
         let free = open.filter_map(|w| {
             Some(Free { service: w.listing.as_ref()?.service.clone(), room: room(w) })
         });
@@ -110,12 +113,12 @@
     }
 
     /// Records the load that another cell reported.
-    pub fn hear(&mut self, cell: u32, load: Load, now: u64) {
+    pub fn record_load(&mut self, cell: u32, load: Load, now: u64) {
         self.cell_loads.insert(cell, CellLoad { load, at: now });
     }
 
     /// Records the home cell of a job.
-    pub fn settle(&mut self, id: JobId, home: u32) {
+    pub fn set_home(&mut self, id: JobId, home: u32) {
         if let Some(job) = self.jobs.get_mut(&id) {
             job.home = Some(home);
         }
@@ -124,13 +127,13 @@
     /// Whether a job need not be placed here now: it is transferred to a cell with clearly more
     /// room, or the loads of other cells are not known yet.
     pub(crate) fn defer_job(&mut self, id: JobId, now: u64) -> bool {
-        let here = |j: &&Job| !self.alone && j.home == Some(self.number);
+        let here = |j: &&Job| !self.only_cell && j.home == Some(self.number);
         let Some(job) = self.jobs.get(&id).filter(here).filter(|j| never_started(j)) else {
             return false;
         };
         let demand = demand(&id, job);
         let Some((share, to)) = self.least_loaded(demand, now) else {
-            return now < self.began + REPORT_WAIT;
+            return now < self.began_at + REPORT_WAIT;
         };
         let load = self.offered_load(now);
         if load.size <= 0.0 || load.share(0.0) < share + MIN_DIFFERENCE {
@@ -162,21 +165,21 @@
     }
 
     /// The cell to which a job was transferred.
-    pub fn moved(&self, id: JobId) -> Option<u32> {
+    pub fn transferred_to(&self, id: JobId) -> Option<u32> {
         self.jobs.get(&id)?.progress.moved.map(|moved| moved.to)
     }
 
     /// Transferred jobs that may be over and removed in the cells that have them, with these cells.
-    pub fn perhaps_forgotten(&self, wall: u64) -> Vec<(JobId, u32)> {
-        let old = |j: &Job| wall > j.submission.taken + 2 * self.bounds.status;
+    pub fn maybe_removed(&self, wall: u64) -> Vec<(JobId, u32)> {
+        let old = |j: &Job| wall > j.submission.taken + 2 * self.limits.status_ttl;
         let moved = self.jobs.iter().filter_map(|(&id, j)| Some((id, j, j.progress.moved?)));
         let old = moved.filter(|(_, j, moved)| moved.delivered && old(j));
         old.map(|(id, _, moved)| (id, moved.to)).collect()
     }
 
     /// Removes a transferred job that the other cell no longer has: it is over.
-    pub fn forget_moved(&mut self, id: JobId) {
-        if self.moved(id).is_some() {
+    pub fn remove_transferred(&mut self, id: JobId) {
+        if self.transferred_to(id).is_some() {
             self.discard(id);
         }
     }
@@ -186,7 +189,7 @@
     /// The processors of a worker that long-running tasks may take: where nothing new may start,
     /// those that they have.
     fn offered(&self) -> f64 {
-        if self.emptied { f64::from(self.used().cpu) } else { self.size() }
+        if self.evacuated { f64::from(self.used().cpu) } else { self.size() }
     }
 }
 
--- a/crates/owner/src/jobs/budget.rs
+++ b/crates/owner/src/jobs/budget.rs
@@ -10,7 +10,7 @@
 
 impl Job {
     /// The disruption budget of a step in this cell, in tasks; nothing if the step sets none.
-    pub(crate) fn allowance(&self, step: u16) -> Option<u16> {
+    pub(crate) fn disruption_budget(&self, step: u16) -> Option<u16> {
         let limit = self.submission.spec.steps.get(usize::from(step))?.may_miss?;
         Some(self.progress.allowance(step, limit))
     }
@@ -30,7 +30,7 @@
     /// The budget share of one step: in proportion to the tasks that go and those that stay, and at
     /// least one for a cell that has none yet, if one is left here.
     fn budget_share(&self, step: u16, tasks: &[TaskId], to: u32) -> Option<u16> {
-        let budget = self.allowance(step)?;
+        let budget = self.disruption_budget(step)?;
         let moved = tasks.iter().filter(|t| t.step == step).count() as u32;
         let staying = self.remaining(step, tasks);
         if staying == 0 {
--- a/crates/owner/src/jobs/delivery.rs
+++ b/crates/owner/src/jobs/delivery.rs
@@ -19,7 +19,7 @@
     /// Takes the records to be put into other cells' logs; each is returned once while it is being
     /// sent.
     pub fn deliveries(&mut self) -> Vec<Delivery> {
-        let due = std::mem::take(&mut self.due);
+        let due = std::mem::take(&mut self.to_deliver);
         let unsent: Vec<_> = due.into_iter().filter(|key| self.sending.insert(*key)).collect();
         unsent.into_iter().filter_map(|key| self.delivery(key)).collect()
     }
--- a/crates/owner/src/jobs/early_cancel.rs
+++ b/crates/owner/src/jobs/early_cancel.rs
@@ -22,7 +22,7 @@
 
 impl Cell {
     /// Cancels a job that is not known: if its record still arrives, it is not started.
-    pub fn bar(&mut self, id: JobId, now: u64, wall: u64) {
+    pub fn cancel_early(&mut self, id: JobId, now: u64, wall: u64) {
         self.early_cancels.entry(id).or_insert_with(|| {
             self.dirty.insert(id);
             EarlyCancel { since: now, wall, logged: false }
@@ -30,7 +30,7 @@
     }
 
     /// Whether the log holds the early cancellation of a job; true if there is none.
-    pub fn bar_logged(&self, id: JobId) -> bool {
+    pub fn cancel_logged(&self, id: JobId) -> bool {
         self.early_cancels.get(&id).is_none_or(|cancel| cancel.logged)
     }
 
@@ -41,14 +41,14 @@
     }
 
     /// The record of an early cancellation; empty if there is none.
-    pub(crate) fn bar_record(&self, id: JobId) -> Vec<u8> {
+    pub(crate) fn cancel_record(&self, id: JobId) -> Vec<u8> {
         self.early_cancels.get(&id).map_or_else(Vec::new, |cancel| {
             encode(&Progress { state: State::Cancelled, ended: cancel.wall, ..Progress::default() })
         })
     }
 
     /// Marks early cancellations as written to the log.
-    pub(crate) fn bars_logged(&mut self, ids: impl Iterator<Item = JobId>) {
+    pub(crate) fn cancels_logged(&mut self, ids: impl Iterator<Item = JobId>) {
         for id in ids {
             if let Some(cancel) = self.early_cancels.get_mut(&id) {
                 cancel.logged = true;
--- a/crates/owner/src/jobs/ends.rs
+++ b/crates/owner/src/jobs/ends.rs
@@ -12,24 +12,30 @@
 
 impl Cell {
     /// Processes the end of a run, once.
-    pub(crate) fn end(&mut self, incarnation: &Incarnation, ended: Ended, now: u64, wall: u64) {
+    pub(crate) fn process_end(
+        &mut self,
+        incarnation: &Incarnation,
+        ended: Ended,
+        now: u64,
+        wall: u64,
+    ) {
         let Some(worker) = self.workers.get_mut(incarnation) else {
             return;
         };
-        if ended.number <= worker.taken {
+        if ended.number <= worker.received_ends {
             // A worker repeats an end until it is acknowledged, but the run of a processed end is
             // off the worker.
-            if worker.flights.get(&ended.task).is_some_and(|f| f.run == ended.run) {
+            if worker.active_runs.get(&ended.task).is_some_and(|f| f.run == ended.run) {
                 warn!(
                     "event=end-passed-over task={} run={} worker={incarnation} how={} number={} taken={}",
-                    ended.task, ended.run, ended.how, ended.number, worker.taken
+                    ended.task, ended.run, ended.how, ended.number, worker.received_ends
                 );
             }
             return;
         }
-        worker.taken = ended.number;
+        worker.received_ends = ended.number;
         let Ended { task, run, how, .. } = ended;
-        let active = worker.drop_flight(task, run, now);
+        let active = worker.remove_run(task, run, now);
         let took = active.map_or(0, |f| now.saturating_sub(f.since));
         // Successful ends are logged by step, so that the volume stays bounded.
         let level = if how == How::Done { Level::Debug } else { Level::Info };
@@ -37,7 +43,7 @@
             level,
             "event=run-ended task={task} run={run} worker={incarnation} how={how} took_ms={took}"
         );
-        self.judge(incarnation, how, task, now);
+        self.count_end(incarnation, how, task, now);
         self.unlogged.push(RunEnd { life: incarnation.clone(), ended: ended.clone() });
         self.apply_end(incarnation, ended, now, wall);
     }
@@ -68,10 +74,10 @@
             How::Failed if !long_running => {
                 let restart = self.failed(task, run, gang, now, wall);
                 if restart && known {
-                    self.regroup(task, now);
+                    self.restart_gang(task, now);
                 }
             }
-            _ if gang && known => self.regroup(task, now),
+            _ if gang && known => self.restart_gang(task, now),
             _ => {}
         }
     }
@@ -100,14 +106,14 @@
             return false;
         }
         if long_running {
-            job.freed.insert(task, now);
+            job.down_since.insert(task, now);
         }
         match how {
             How::Done if !long_running => record.done = true,
             How::Failed => {
                 record.fail(run);
-                job.retry.insert(task, now + RETRY_DELAY);
-                job.shunned.entry(task).or_default().push(incarnation.clone());
+                job.retry_at.insert(task, now + RETRY_DELAY);
+                job.avoided.entry(task).or_default().push(incarnation.clone());
             }
             _ => {}
         }
@@ -142,7 +148,7 @@
             job.progress.rounds.remove(&task.round);
         }
         for (id, run) in copies {
-            self.halt(&run.worker, id, run.number, now);
+            self.stop_run(&run.worker, id, run.number, now);
         }
         self.complete(task.job, now, wall);
     }
@@ -190,7 +196,7 @@
     }
 
     /// Stops the other tasks of a gang after one ended without success, so that all can restart.
-    pub(crate) fn regroup(&mut self, task: TaskId, now: u64) {
+    pub(crate) fn restart_gang(&mut self, task: TaskId, now: u64) {
         let Some(round) = self.jobs.get(&task.job).and_then(|j| j.progress.rounds.get(&task.round))
         else {
             return;
@@ -203,7 +209,7 @@
             .flat_map(|(i, t)| t.live.iter().map(move |r| (i as u16, r.clone())))
             .collect();
         for (index, run) in live {
-            self.halt(&run.worker, TaskId { index, ..task }, run.number, now);
+            self.stop_run(&run.worker, TaskId { index, ..task }, run.number, now);
         }
     }
 }
--- a/crates/owner/src/jobs/explain.rs
+++ b/crates/owner/src/jobs/explain.rs
@@ -15,7 +15,7 @@
         let mut lines = vec![format!(
             "job {id}: {} (in the log: {}), queue {}, priority {}, {age} ms old, objective {} ms",
             job.progress.state,
-            job.shown,
+            job.logged_state,
             policy.queue,
             policy.priority,
             job.objective()
@@ -33,14 +33,14 @@
             let failed = task.failed.len();
             lines.push(format!("{name}: {what}, {failed} failed, {lost} lost with their workers"));
         }
-        if !self.emptied.is_empty() {
-            let all = if self.all_emptied() {
+        if !self.evacuated.is_empty() {
+            let all = if self.all_evacuated() {
                 "every data centre of the cell is"
             } else {
                 "data centres"
             };
-            let names: Vec<_> = self.emptied.iter().map(String::as_str).collect();
-            lines.push(format!("{all} being emptied: {}", names.join(" ")));
+            let names: Vec<_> = self.evacuated.iter().map(String::as_str).collect();
+            lines.push(format!("{all} being evacuated: {}", names.join(" ")));
         }
         lines
     }
--- a/crates/owner/src/jobs/job.rs
+++ b/crates/owner/src/jobs/job.rs
@@ -13,7 +13,7 @@
     /// Its progress, ahead of the log.
     pub progress: Progress,
     /// The state that the log holds, which clients see.
-    pub shown: State,
+    pub logged_state: State,
     /// When it was submitted, by the steady clock.
     pub arrived_at: u64,
     /// The home cell that follows from its name, if known; it may transfer the job to another one.
@@ -25,12 +25,12 @@
     /// Since when a task has found no worker, if none was placed after that.
     pub waiting_since: Option<u64>,
     /// When tasks may be tried again after a refusal or a failure.
-    pub retry: BTreeMap<TaskId, u64>,
+    pub retry_at: BTreeMap<TaskId, u64>,
     /// When the last runs of long-running tasks that aren't running ended, as far as this owner was
     /// notified.
-    pub freed: BTreeMap<TaskId, u64>,
+    pub down_since: BTreeMap<TaskId, u64>,
     /// Where a task failed or made no progress, so that it goes to another worker.
-    pub shunned: BTreeMap<TaskId, Vec<Incarnation>>,
+    pub avoided: BTreeMap<TaskId, Vec<Incarnation>>,
     /// The policy service's answers, by repetition and step.
     pub tickets: BTreeMap<(u32, u16), StepTickets>,
 }
@@ -51,19 +51,19 @@
 impl Job {
     /// A job that was submitted at `arrived_at`.
     pub fn new(submission: Submission, progress: Progress, arrived_at: u64) -> Self {
-        let shown = progress.state;
+        let logged_state = progress.state;
         Self {
             submission,
             progress,
-            shown,
+            logged_state,
             arrived_at,
             home: None,
             transfer_until: 0,
             received_at: 0,
             waiting_since: None,
-            retry: BTreeMap::new(),
-            freed: BTreeMap::new(),
-            shunned: BTreeMap::new(),
+            retry_at: BTreeMap::new(),
+            down_since: BTreeMap::new(),
+            avoided: BTreeMap::new(),
             tickets: BTreeMap::new(),
         }
     }
@@ -104,7 +104,7 @@
         if !self.resumes(task) {
             return u64::MAX;
         }
-        self.freed.get(&task).copied().unwrap_or(0)
+        self.down_since.get(&task).copied().unwrap_or(0)
     }
 
     /// The start of the longest downtime among the waiting tasks; `id` is the job's own.
--- a/crates/owner/src/jobs/termination.rs
+++ b/crates/owner/src/jobs/termination.rs
@@ -5,7 +5,7 @@
 use myrtle_job::{Incarnation, JobId, State, TaskId};
 
 use crate::workers::crash::Cause;
-use crate::{Cell, Life, Order, Stage};
+use crate::{Cell, Order, Presence, Stage};
 
 impl Cell {
     /// Cancels a job and stops its runs; false if the job is not known.
@@ -25,8 +25,9 @@
     /// The number of runs of a job, and of those on workers that don't answer.
     fn count_runs(&self, id: JobId) -> (usize, usize) {
         let runs = self.jobs.get(&id).map_or_else(Vec::new, |job| job.runs(id));
-        let answers =
-            |incarnation| self.workers.get(incarnation).is_some_and(|w| w.life == Life::Well);
+        let answers = |incarnation| {
+            self.workers.get(incarnation).is_some_and(|w| w.presence == Presence::Answering)
+        };
         let unreached = runs.iter().filter(|(_, run)| !answers(&run.worker)).count();
         (runs.len(), unreached)
     }
@@ -40,26 +41,26 @@
         job.progress.ended = wall.max(1);
         self.open.remove(&id);
         self.repeating.remove(&id);
-        self.swings.forget(id);
+        self.load_cycles.forget(id);
         self.dirty.insert(id);
         for (task, run) in job.runs(id) {
-            self.halt(&run.worker, task, run.number, now);
+            self.stop_run(&run.worker, task, run.number, now);
         }
     }
 
     /// Stops a run; one whose start was not sent yet is removed.
-    pub(crate) fn halt(&mut self, incarnation: &Incarnation, task: TaskId, run: u32, now: u64) {
+    pub(crate) fn stop_run(&mut self, incarnation: &Incarnation, task: TaskId, run: u32, now: u64) {
         let Some(worker) = self.workers.get_mut(incarnation) else {
             return;
         };
-        let Some(active) = worker.flights.get_mut(&task).filter(|f| f.run == run) else {
+        let Some(active) = worker.active_runs.get_mut(&task).filter(|f| f.run == run) else {
             return;
         };
         match active.stage {
             Stage::Stopping | Stage::Stopped => {}
             Stage::Written => {
-                worker.flights.remove(&task);
-                self.forget_run(task, run);
+                worker.active_runs.remove(&task);
+                self.remove_run(task, run);
             }
             _ => {
                 active.enter(Stage::Stopping, now);
@@ -69,7 +70,7 @@
     }
 
     /// Removes a run from its task's record, so that the task can be started again.
-    pub(crate) fn forget_run(&mut self, task: TaskId, run: u32) {
+    pub(crate) fn remove_run(&mut self, task: TaskId, run: u32) {
         let Some(job) = self.jobs.get_mut(&task.job) else {
             return;
         };
@@ -82,37 +83,37 @@
     }
 
     /// Marks an incarnation as replaced by another one that answers at its address.
-    pub(crate) fn succeeded(&mut self, incarnation: &Incarnation, now: u64) {
-        self.lose(incarnation, Cause::Succeeded, now);
+    pub(crate) fn mark_replaced(&mut self, incarnation: &Incarnation, now: u64) {
+        self.remove_runs(incarnation, Cause::Replaced, now);
         if let Some(worker) = self.workers.get_mut(incarnation) {
             worker.listed = false;
         }
     }
 
     /// Removes the runs of an incarnation that is gone or whose leases have all expired.
-    pub(crate) fn lose(&mut self, incarnation: &Incarnation, cause: Cause, now: u64) {
-        self.note_silence(incarnation, now);
+    pub(crate) fn remove_runs(&mut self, incarnation: &Incarnation, cause: Cause, now: u64) {
+        self.record_silence(incarnation, now);
         let crashed = self.may_have_crashed(incarnation, cause, now);
         let Some(worker) = self.workers.get_mut(incarnation) else {
             return;
         };
-        let runs = std::mem::take(&mut worker.flights);
+        let runs = std::mem::take(&mut worker.active_runs);
         if !runs.is_empty() || worker.listed {
             warn!(
                 "event=worker-gone worker={incarnation} reason=\"{cause}\" runs={} silent_ms={}",
                 runs.len(),
-                now.saturating_sub(worker.heard)
+                now.saturating_sub(worker.answered_at)
             );
         }
-        let heard = worker.heard;
+        let answered_at = worker.answered_at;
         // A run lasted at least until the worker's last reply; for a worker that never answered
         // this owner the time is not known.
-        let down_since = (worker.life != Life::Unmet).then_some(heard);
-        worker.life = Life::Gone;
+        let down_since = (worker.presence != Presence::Unreached).then_some(answered_at);
+        worker.presence = Presence::Gone;
         self.counts.lost += runs.len() as u64;
         let runs: Vec<_> = runs.into_iter().collect();
         if crashed {
-            self.count_crash(incarnation, &runs, heard);
+            self.count_loss_of(incarnation, &runs, answered_at);
         }
         for (task, active) in runs {
             // The time between its start and the last reply shows which runs had just started.
@@ -120,12 +121,12 @@
                 "event=run-lost task={task} run={} worker={incarnation} stage={:?} ran_ms={}",
                 active.run,
                 active.stage,
-                heard.saturating_sub(active.begun.unwrap_or(heard))
+                answered_at.saturating_sub(active.started_at.unwrap_or(answered_at))
             );
             // The record may already name the worker's next incarnation.
-            if self.holds(incarnation, task, active.run) {
-                self.forget_run(task, active.run);
-                if let Some(down_since) = down_since.filter(|_| active.begun.is_some()) {
+            if self.has_run(incarnation, task, active.run) {
+                self.remove_run(task, active.run);
+                if let Some(down_since) = down_since.filter(|_| active.started_at.is_some()) {
                     self.note_down(task, down_since);
                 }
             }
@@ -136,12 +137,12 @@
     fn note_down(&mut self, task: TaskId, at: u64) {
         let job = self.jobs.get_mut(&task.job);
         if let Some(job) = job.filter(|j| j.step(task.step).lasting) {
-            job.freed.insert(task, at);
+            job.down_since.insert(task, at);
         }
     }
 
     /// Whether a task's record holds a run at an incarnation.
-    pub(crate) fn holds(&self, incarnation: &Incarnation, task: TaskId, run: u32) -> bool {
+    pub(crate) fn has_run(&self, incarnation: &Incarnation, task: TaskId, run: u32) -> bool {
         let record = self.jobs.get(&task.job).and_then(|job| job.progress.task(task));
         record.and_then(|t| t.run(run)).is_some_and(|r| r.worker == *incarnation)
     }
--- a/crates/owner/src/jobs/transfer.rs
+++ b/crates/owner/src/jobs/transfer.rs
@@ -14,7 +14,7 @@
 use myrtle_job::{Free, Handed, JobId, Load, Part, PartId, Progress, Round, State, Taken, TaskId};
 
 use crate::jobs::offer::Offer;
-use crate::{Cell, Job, Life};
+use crate::{Cell, Job, Presence};
 
 /// How long a task finds no worker, or is down, before it is transferred, in milliseconds: a little
 /// longer than long-running tasks wait before they use the room left to short ones.
@@ -27,7 +27,7 @@
 
 impl Cell {
     /// Records an incoming transfer; a repeat changes nothing.
-    pub fn take_part(&mut self, id: PartId, transfer: Part, now: u64, wall: u64) {
+    pub fn receive_transfer(&mut self, id: PartId, transfer: Part, now: u64, wall: u64) {
         let Part { submission, mut tasks, allowances, crashes } = transfer;
         if let Err(e) = submission.spec.check() {
             return warn!("event=part-unusable job={} from={} reason=\"{e}\"", id.job, id.from);
@@ -52,7 +52,7 @@
         for (task, crashes) in crashes {
             job.progress.crashes.entry(task).or_default().merge(crashes);
             if job.progress.given_up(task) {
-                self.doomed.insert(task);
+                self.given_up_tasks.insert(task);
             }
         }
         // A takeover reads old transfers again.
@@ -72,14 +72,14 @@
 
     /// Cancels the transferred tasks of a job that is over; a transfer that arrives later is not
     /// started.
-    pub fn take_back(&mut self, id: JobId, now: u64, wall: u64) {
+    pub fn cancel_transferred(&mut self, id: JobId, now: u64, wall: u64) {
         if !self.cancel(id, now, wall) {
-            self.bar(id, now, wall);
+            self.cancel_early(id, now, wall);
         }
     }
 
     /// Returns a task to the cell that it first came from, which has the authority to end the job.
-    pub(crate) fn give_back(&mut self, task: TaskId) {
+    pub(crate) fn return_task(&mut self, task: TaskId) {
         let Some(job) = self.jobs.get_mut(&task.job) else {
             return;
         };
@@ -99,7 +99,7 @@
     pub(crate) fn transfer_tasks(&mut self, id: JobId, now: u64) {
         let may_transfer =
             |j: &&Job| j.waiting_since.is_some() && j.submission.spec.repeat.is_none();
-        let Some(job) = self.jobs.get(&id).filter(|j| !self.alone && may_transfer(j)) else {
+        let Some(job) = self.jobs.get(&id).filter(|j| !self.only_cell && may_transfer(j)) else {
             return;
         };
         if now < self.waits_since(id, job) + TRANSFER_AFTER {
@@ -149,8 +149,8 @@
     /// Since when the owner waits for first replies about its workers' room; 0 once all of them
     /// have answered.
     fn unconfirmed_since(&self) -> u64 {
-        let unmet = self.workers.values().any(|w| w.listed && w.life == Life::Unmet);
-        if unmet { self.began } else { 0 }
+        let unmet = self.workers.values().any(|w| w.listed && w.presence == Presence::Unreached);
+        if unmet { self.began_at } else { 0 }
     }
 
     /// The cell with the most room that has a worker for a task; the room is subtracted from its
@@ -206,7 +206,7 @@
     }
 
     /// Whether transferred tasks may not have been started yet.
-    pub(crate) fn handed_lately(&self, now: u64) -> bool {
+    pub(crate) fn transfer_pending(&self, now: u64) -> bool {
         now < self.transfer_until
     }
 }
@@ -226,6 +226,6 @@
         let numbered = step.tasks.iter().zip(0u16..);
         numbered.map(move |(t, index)| (TaskId { job: id, round: 0, step: number, index }, t))
     });
-    let due = move |task: &TaskId| job.retry.get(task).is_none_or(|&at| at <= now);
+    let due = move |task: &TaskId| job.retry_at.get(task).is_none_or(|&at| at <= now);
     tasks.filter(move |(task, t)| job.waits(*task, t) && due(task)).map(|(task, _)| task)
 }
--- a/crates/owner/src/jobs/unlogged.rs
+++ b/crates/owner/src/jobs/unlogged.rs
@@ -8,7 +8,7 @@
 
 use myrtle_job::{Ended, RunEnd};
 
-use crate::{Cell, Life};
+use crate::{Cell, Presence};
 
 impl Cell {
     /// The received ends that are not in the log yet.
@@ -18,16 +18,17 @@
 
     /// Records an end that an earlier owner received; for a worker that answers, its own report
     /// counts.
-    pub fn hear_end(&mut self, end: &RunEnd, now: u64, wall: u64) {
+    pub fn restore_end(&mut self, end: &RunEnd, now: u64, wall: u64) {
         let RunEnd { life: incarnation, ended } = end;
         let Ended { task, run, how, .. } = *ended;
-        let answers = self.workers.get(incarnation).is_some_and(|w| w.life == Life::Well);
-        if answers || !self.holds(incarnation, task, run) {
+        let answers =
+            self.workers.get(incarnation).is_some_and(|w| w.presence == Presence::Answering);
+        if answers || !self.has_run(incarnation, task, run) {
             return;
         }
         info!("event=end-passed-on task={task} run={run} worker={incarnation} how={how}");
         if let Some(worker) = self.workers.get_mut(incarnation) {
-            worker.drop_flight(task, run, now);
+            worker.remove_run(task, run, now);
         }
         self.unlogged.push(end.clone());
         self.apply_end(incarnation, ended.clone(), now, wall);
--- a/crates/owner/src/orders/flight.rs
+++ b/crates/owner/src/orders/active_run.rs
@@ -6,18 +6,20 @@
 use myrtle_job::{Running, StepSpec};
 
 /// The stage of an active run.
-#[derive(Debug, Clone, Copy, PartialEq, Eq)]
+#[derive(derive_more::Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Stage {
     /// Its record is being written to the log.
     Written,
     /// The start is being sent.
     Sent,
     /// The start got no reply; it is sent again.
-    Unsure,
+    #[debug("Unsure")]
+    Unanswered,
     /// An earlier owner wrote its record; the worker has not reported since.
     Inherited,
     /// The worker runs it.
-    Up,
+    #[debug("Up")]
+    Running,
     /// The stop is being sent.
     Stopping,
     /// The worker has confirmed the stop but not yet reported the end.
@@ -26,7 +28,7 @@
 
 /// A run that the owner tracks on a worker.
 #[derive(Debug, Clone)]
-pub struct Flight {
+pub struct ActiveRun {
     /// The run's number.
     pub run: u32,
     /// Its stage.
@@ -34,7 +36,7 @@
     /// When that stage began.
     pub since: u64,
     /// When it was first reported running.
-    pub begun: Option<u64>,
+    pub started_at: Option<u64>,
     /// Whether a start got no reply and may still be carried out.
     pub unanswered: bool,
     /// Whether its task may have crashed a worker before.
@@ -50,7 +52,7 @@
     /// Whether it is a filler.
     pub filler: bool,
     /// Whether it is long-running.
-    pub lasting: bool,
+    pub long_running: bool,
     /// Whether copies may run beside it.
     pub copies: bool,
     /// Whether it saves checkpoints.
@@ -65,11 +67,11 @@
     /// of processors in thousandths of a core.
     pub figure: f64,
     /// The speed limit that it was last given, in percent.
-    pub pace: u32,
+    pub speed_limit: u32,
     /// Whether the worker has not confirmed that limit.
     pub unconfirmed: bool,
     /// Since when its tail latency has exceeded its target.
-    pub over: Option<u64>,
+    pub over_since: Option<u64>,
     /// The pressure on its tail latency in the last window, from its own load and the fillers
     /// beside it, 0 to 1.
     pub pressure: Option<f64>,
@@ -77,14 +79,14 @@
     pub peak: f64,
 }
 
-impl Flight {
+impl ActiveRun {
     /// A run of a task of `spec` that starts in `stage`.
     pub fn new(run: u32, spec: &StepSpec, stage: Stage, now: u64) -> Self {
         Self {
             run,
             stage,
             since: now,
-            begun: None,
+            started_at: None,
             unanswered: false,
             suspect: false,
             claim: spec.claim(),
@@ -92,16 +94,16 @@
             image: spec.image.clone(),
             target: spec.target,
             filler: spec.filler,
-            lasting: spec.lasting,
+            long_running: spec.lasting,
             copies: spec.copies,
             saves: spec.saves,
             estimate: spec.estimate,
             percent: 0.0,
             changed_at: now,
             figure: 0.0,
-            pace: 100,
+            speed_limit: 100,
             unconfirmed: false,
-            over: None,
+            over_since: None,
             pressure: None,
             peak: 0.0,
         }
@@ -115,11 +117,11 @@
 
     /// Applies the worker's report of the run; true if its figure has changed.
     pub(crate) fn show(&mut self, running: &Running, now: u64) -> bool {
-        if matches!(self.stage, Stage::Sent | Stage::Unsure | Stage::Inherited) {
-            self.enter(Stage::Up, now);
+        if matches!(self.stage, Stage::Sent | Stage::Unanswered | Stage::Inherited) {
+            self.enter(Stage::Running, now);
         }
-        if self.begun.is_none() {
-            self.begun = Some(now);
+        if self.started_at.is_none() {
+            self.started_at = Some(now);
         }
         if running.percent != self.percent {
             self.percent = running.percent;
@@ -129,7 +131,7 @@
         let changed = figure != self.figure;
         if changed {
             self.figure = figure;
-            if self.pace == 100 {
+            if self.speed_limit == 100 {
                 self.peak = self.peak.max(figure);
             }
         }
--- a/crates/owner/src/orders/flights.rs
+++ b/crates/owner/src/orders/active_runs.rs
@@ -7,7 +7,7 @@
 use myrtle_base::Room;
 use myrtle_job::TaskId;
 
-use crate::Flight;
+use crate::ActiveRun;
 
 /// The share of its processors that a serving task uses on average, judged by what fillers got
 /// beside them.
@@ -18,8 +18,8 @@
 /// Placing looks at every worker for every waiting task, so the sums over a worker's runs are
 /// cached; without that a pass over a full cell takes twice as long (`benches/plan.rs`).
 #[derive(Debug, Clone, Default)]
-pub struct Flights {
-    by_task: BTreeMap<TaskId, Flight>,
+pub struct ActiveRuns {
+    by_task: BTreeMap<TaskId, ActiveRun>,
     sums: Kept<Option<Sums>>,
 }
 
@@ -40,7 +40,7 @@
     pub(crate) over_since: Option<u64>,
 }
 
-impl Flights {
+impl ActiveRuns {
     /// The sums, computed if a run has changed.
     pub(crate) fn sums(&self) -> Sums {
         if let Some(sums) = self.sums.get() {
@@ -54,10 +54,10 @@
 
 impl Sums {
     /// The sums with one more run.
-    fn with(self, active: &Flight) -> Self {
+    fn with(self, active: &ActiveRun) -> Self {
         let cpu = f64::from(active.cpu);
         let (non_fillers, fillers) = match (active.filler, active.target) {
-            (true, _) => (0.0, cpu * f64::from(active.pace) / 100.0),
+            (true, _) => (0.0, cpu * f64::from(active.speed_limit) / 100.0),
             (false, Some(_)) => (cpu * SERVING_USE, 0.0),
             (false, None) => (cpu, 0.0),
         };
@@ -65,49 +65,49 @@
             claimed: self.claimed + active.claim,
             non_fillers: self.non_fillers + non_fillers,
             fillers: self.fillers + fillers,
-            long_running: self.long_running || active.lasting,
+            long_running: self.long_running || active.long_running,
             suspect: self.suspect || active.suspect,
-            over_since: self.over_since.into_iter().chain(active.over).min(),
+            over_since: self.over_since.into_iter().chain(active.over_since).min(),
         }
     }
 }
 
-impl Deref for Flights {
-    type Target = BTreeMap<TaskId, Flight>;
+impl Deref for ActiveRuns {
+    type Target = BTreeMap<TaskId, ActiveRun>;
 
     fn deref(&self) -> &Self::Target {
         &self.by_task
     }
 }
 
-impl DerefMut for Flights {
+impl DerefMut for ActiveRuns {
     fn deref_mut(&mut self) -> &mut Self::Target {
         self.sums.set(None);
         &mut self.by_task
     }
 }
 
-impl IntoIterator for Flights {
-    type Item = (TaskId, Flight);
-    type IntoIter = btree_map::IntoIter<TaskId, Flight>;
+impl IntoIterator for ActiveRuns {
+    type Item = (TaskId, ActiveRun);
+    type IntoIter = btree_map::IntoIter<TaskId, ActiveRun>;
 
     fn into_iter(self) -> Self::IntoIter {
         self.by_task.into_iter()
     }
 }
 
-impl<'a> IntoIterator for &'a Flights {
-    type Item = (&'a TaskId, &'a Flight);
-    type IntoIter = btree_map::Iter<'a, TaskId, Flight>;
+impl<'a> IntoIterator for &'a ActiveRuns {
+    type Item = (&'a TaskId, &'a ActiveRun);
+    type IntoIter = btree_map::Iter<'a, TaskId, ActiveRun>;
 
     fn into_iter(self) -> Self::IntoIter {
         self.by_task.iter()
     }
 }
 
-impl<'a> IntoIterator for &'a mut Flights {
-    type Item = (&'a TaskId, &'a mut Flight);
-    type IntoIter = btree_map::IterMut<'a, TaskId, Flight>;
+impl<'a> IntoIterator for &'a mut ActiveRuns {
+    type Item = (&'a TaskId, &'a mut ActiveRun);
+    type IntoIter = btree_map::IterMut<'a, TaskId, ActiveRun>;
 
     fn into_iter(self) -> Self::IntoIter {
         self.deref_mut().iter_mut()
--- a/crates/owner/src/orders/commit.rs
+++ b/crates/owner/src/orders/commit.rs
@@ -2,7 +2,7 @@
 
 use myrtle_job::{Incarnation, JobId, Key, State, TaskId, encode_packed};
 
-use crate::{Cell, Order, Stage, Trace};
+use crate::{Cell, Order, Stage, WorkerRecord};
 
 /// One append to the log and what waits for it.
 #[derive(Debug, Default)]
@@ -10,19 +10,19 @@
     /// The records: a job's progress by its id; an empty value removes the job.
     pub records: Vec<(JobId, Vec<u8>)>,
     /// The descriptions of workers that are given work for the first time.
-    pub traces: Vec<Trace>,
+    pub worker_records: Vec<WorkerRecord>,
     /// Earlier owners whose records the log no longer needs, by fencing token.
     pub owners: Vec<u64>,
     /// Runs to start once the records are in the log.
     starts: Vec<(Incarnation, TaskId, u32)>,
     /// The numbers up to which the records include the ends that a worker reported.
-    noted: Vec<(Incarnation, u64)>,
+    logged_ends: Vec<(Incarnation, u64)>,
     /// Job states that clients may be shown after the append.
-    shown: Vec<(JobId, State)>,
+    logged_states: Vec<(JobId, State)>,
     /// Records that other cells may be given after the append.
-    deliverable: Vec<Key>,
+    to_deliver: Vec<Key>,
     /// Records of removed jobs.
-    pub drops: Vec<Key>,
+    pub removals: Vec<Key>,
     /// The number of ends in the records that were not in the log before.
     ends: usize,
 }
@@ -30,7 +30,7 @@
 impl Batch {
     /// Whether there is nothing to append.
     pub fn is_empty(&self) -> bool {
-        self.records.is_empty() && self.traces.is_empty() && self.noted.is_empty()
+        self.records.is_empty() && self.worker_records.is_empty() && self.logged_ends.is_empty()
     }
 }
 
@@ -42,24 +42,24 @@
 
     /// Collects everything that has changed since the last batch.
     pub fn batch(&mut self) -> Batch {
-        let drops = std::mem::take(&mut self.drops);
-        let (traces, ends) = (self.traces(), self.unlogged.len());
-        let owners = self.earlier.iter().copied().collect();
-        let mut batch = Batch { drops, traces, owners, ends, ..Batch::default() };
+        let removals = std::mem::take(&mut self.removals);
+        let (worker_records, ends) = (self.worker_records(), self.unlogged.len());
+        let owners = self.earlier_owners.iter().copied().collect();
+        let mut batch = Batch { removals, worker_records, owners, ends, ..Batch::default() };
         for id in std::mem::take(&mut self.dirty) {
             let Some(job) = self.jobs.get(&id) else {
-                batch.records.push((id, self.bar_record(id)));
+                batch.records.push((id, self.cancel_record(id)));
                 continue;
             };
             batch.records.push((id, encode_packed(&job.progress)));
-            batch.shown.push((id, job.progress.state));
-            batch.deliverable.extend(self.undelivered(id, job));
+            batch.logged_states.push((id, job.progress.state));
+            batch.to_deliver.extend(self.undelivered(id, job));
         }
         for (incarnation, worker) in &self.workers {
-            if worker.taken > worker.noted {
-                batch.noted.push((incarnation.clone(), worker.taken));
+            if worker.received_ends > worker.logged_ends {
+                batch.logged_ends.push((incarnation.clone(), worker.received_ends));
             }
-            let written = worker.flights.iter().filter(|(_, f)| f.stage == Stage::Written);
+            let written = worker.active_runs.iter().filter(|(_, f)| f.stage == Stage::Written);
             batch.starts.extend(written.map(|(&task, f)| (incarnation.clone(), task, f.run)));
         }
         batch
@@ -67,21 +67,21 @@
 
     /// Marks a batch as written; returns the starts that can be sent now.
     pub fn committed(&mut self, batch: Batch, now: u64) -> Vec<Order> {
-        self.mark_logged(batch.traces);
-        self.earlier.retain(|fence| !batch.owners.contains(fence));
-        self.bars_logged(batch.records.iter().map(|(id, _)| *id));
+        self.mark_logged(batch.worker_records);
+        self.earlier_owners.retain(|fence| !batch.owners.contains(fence));
+        self.cancels_logged(batch.records.iter().map(|(id, _)| *id));
         self.unlogged.drain(..batch.ends.min(self.unlogged.len()));
-        for (incarnation, number) in batch.noted {
+        for (incarnation, number) in batch.logged_ends {
             if let Some(worker) = self.workers.get_mut(&incarnation) {
-                worker.noted = worker.noted.max(number);
+                worker.logged_ends = worker.logged_ends.max(number);
             }
         }
-        for (id, state) in batch.shown {
+        for (id, state) in batch.logged_states {
             if let Some(job) = self.jobs.get_mut(&id) {
-                job.shown = state;
+                job.logged_state = state;
             }
         }
-        self.due.extend(batch.deliverable);
+        self.to_deliver.extend(batch.to_deliver);
         let starts = batch.starts.into_iter();
         starts
             .filter_map(|(incarnation, task, run)| self.start(&incarnation, task, run, now))
@@ -97,14 +97,14 @@
         now: u64,
     ) -> Option<Order> {
         let worker = self.workers.get_mut(incarnation)?;
-        let active = worker.flights.get_mut(&task)?;
-        if active.run != run || !matches!(active.stage, Stage::Written | Stage::Unsure) {
+        let active = worker.active_runs.get_mut(&task)?;
+        if active.run != run || !matches!(active.stage, Stage::Written | Stage::Unanswered) {
             return None;
         }
         if self.withdraw_if_closed(incarnation, task, run, now) {
             return None;
         }
-        let active = self.workers.get_mut(incarnation)?.flights.get_mut(&task)?;
+        let active = self.workers.get_mut(incarnation)?.active_runs.get_mut(&task)?;
         active.enter(Stage::Sent, now);
         let job = self.jobs.get(&task.job)?;
         let saved = job.progress.task(task)?.saved.clone();
--- a/crates/owner/src/orders/order.rs
+++ b/crates/owner/src/orders/order.rs
@@ -32,7 +32,7 @@
         run: u32,
     },
     /// Sets a run's speed limit.
-    Pace {
+    Throttle {
         /// The worker.
         worker: Incarnation,
         /// The task.
@@ -48,22 +48,24 @@
     /// The worker that receives the order.
     pub fn worker(&self) -> &Incarnation {
         match self {
-            Self::Start { worker, .. } | Self::Stop { worker, .. } | Self::Pace { worker, .. } => {
-                worker
-            }
+            Self::Start { worker, .. }
+            | Self::Stop { worker, .. }
+            | Self::Throttle { worker, .. } => worker,
         }
     }
 }
 
 /// The outcome of an order.
-#[derive(Debug, Clone, Copy, PartialEq, Eq)]
+#[derive(derive_more::Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Outcome {
     /// The worker replied.
-    Told(Told),
+    #[debug("Told({_0:?})")]
+    Replied(Told),
     /// Another incarnation, or another worker, replied; the intended one is gone.
     Replaced(Successor),
     /// The worker is unhealthy and did nothing.
-    Unwell,
+    #[debug("Unwell")]
+    Unhealthy,
     /// The order was not sent.
     Unsent,
     /// The order may have been carried out, or may be later.
--- a/crates/owner/src/orders/replies.rs
+++ b/crates/owner/src/orders/replies.rs
@@ -4,7 +4,7 @@
 
 use myrtle_job::{Incarnation, TaskId, Told};
 
-use crate::{Cell, Life, Order, Outcome, Stage};
+use crate::{Cell, Order, Outcome, Presence, Stage};
 
 /// The pause before an order without reply is sent again, in milliseconds: longer than most replies
 /// take, far shorter than a task.
@@ -22,7 +22,7 @@
 
 impl Cell {
     /// Handles the outcome of a start; true if it was refused because of a successor of this owner.
-    pub fn start_told(
+    pub fn start_replied(
         &mut self,
         incarnation: &Incarnation,
         task: TaskId,
@@ -30,19 +30,19 @@
         outcome: Outcome,
         now: u64,
     ) -> bool {
-        if outcome != Outcome::Told(Told::Done) {
+        if outcome != Outcome::Replied(Told::Done) {
             info!(
                 "event=start-told task={task} run={run} worker={incarnation} outcome={outcome:?}"
             );
         }
         match outcome {
-            Outcome::Told(Told::Done) => self.started(incarnation, task, run, now),
-            Outcome::Told(Told::Fenced) => return true,
+            Outcome::Replied(Told::Done) => self.started(incarnation, task, run, now),
+            Outcome::Replied(Told::Fenced) => return true,
             Outcome::Replaced(by) => self.replaced(incarnation, by, now),
             // The run has been there: the worker's reports show how it ended.
-            Outcome::Told(Told::Old) => self.started(incarnation, task, run, now),
-            Outcome::Told(reply) => self.refused(incarnation, task, run, reply, now),
-            Outcome::Unwell => {
+            Outcome::Replied(Told::Old) => self.started(incarnation, task, run, now),
+            Outcome::Replied(reply) => self.refused(incarnation, task, run, reply, now),
+            Outcome::Unhealthy => {
                 self.back_off(incarnation, now + UNHEALTHY_BACKOFF);
                 self.retract(incarnation, task, run, now);
             }
@@ -53,7 +53,7 @@
     }
 
     /// Handles the outcome of a stop; true if it was refused because of a successor of this owner.
-    pub fn stop_told(
+    pub fn stop_replied(
         &mut self,
         incarnation: &Incarnation,
         task: TaskId,
@@ -61,7 +61,7 @@
         outcome: Outcome,
         now: u64,
     ) -> bool {
-        if outcome == Outcome::Told(Told::Fenced) {
+        if outcome == Outcome::Replied(Told::Fenced) {
             return true;
         }
         if let Outcome::Replaced(by) = outcome {
@@ -71,12 +71,12 @@
         let Some(worker) = self.workers.get_mut(incarnation) else {
             return false;
         };
-        let Some(active) = worker.flights.get_mut(&task).filter(|f| f.run == run) else {
+        let Some(active) = worker.active_runs.get_mut(&task).filter(|f| f.run == run) else {
             return false;
         };
         match outcome {
-            Outcome::Told(_) => active.enter(Stage::Stopped, now),
-            // Sent again by `repeat`, at the earliest after the usual pause.
+            Outcome::Replied(_) => active.enter(Stage::Stopped, now),
+            // Sent again by `resend`, at the earliest after the usual pause.
             _ => active.since = now,
         }
         false
@@ -85,26 +85,28 @@
     /// Whether a queued order is still to be sent: meanwhile its run may have become needless, its
     /// worker's room may have shrunk, its worker may have begun to leave, or its data centre may
     /// have begun to be evacuated.
-    pub fn stands(&mut self, order: &Order, now: u64) -> bool {
+    pub fn still_wanted(&mut self, order: &Order, now: u64) -> bool {
         let Order::Start { worker, task, run, .. } = order else {
             return true;
         };
-        let active = self.workers.get(worker).and_then(|w| w.flights.get(task));
+        let active = self.workers.get(worker).and_then(|w| w.active_runs.get(task));
         active.is_some_and(|f| f.run == *run && f.stage == Stage::Sent)
             && !self.withdraw_if_closed(worker, *task, *run, now)
     }
 
     /// Returns the orders without reply that are due to be sent again.
-    pub fn repeat(&mut self, now: u64) -> Vec<Order> {
+    pub fn resend(&mut self, now: u64) -> Vec<Order> {
         let mut orders = Vec::new();
         let mut starts = Vec::new();
-        for (incarnation, worker) in self.workers.iter_mut().filter(|(_, w)| w.life == Life::Well) {
-            for (&task, active) in &mut worker.flights {
+        for (incarnation, worker) in
+            self.workers.iter_mut().filter(|(_, w)| w.presence == Presence::Answering)
+        {
+            for (&task, active) in &mut worker.active_runs {
                 if now < active.since + RESEND_AFTER {
                     continue;
                 }
                 match active.stage {
-                    Stage::Unsure => starts.push((incarnation.clone(), task, active.run)),
+                    Stage::Unanswered => starts.push((incarnation.clone(), task, active.run)),
                     Stage::Stopping if now >= active.since + 3 * RESEND_AFTER => {
                         active.since = now;
                         orders.push(Order::Stop {
@@ -128,14 +130,14 @@
         let Some(worker) = self.workers.get_mut(incarnation) else {
             return;
         };
-        worker.heard = now;
-        if let Some(active) = worker.flights.get_mut(&task)
+        worker.answered_at = now;
+        if let Some(active) = worker.active_runs.get_mut(&task)
             && active.run == run
-            && matches!(active.stage, Stage::Sent | Stage::Unsure)
+            && matches!(active.stage, Stage::Sent | Stage::Unanswered)
         {
-            active.enter(Stage::Up, now);
-            active.begun = active.begun.or(Some(now));
-            self.begun(task);
+            active.enter(Stage::Running, now);
+            active.started_at = active.started_at.or(Some(now));
+            self.mark_started(task);
         }
     }
 
@@ -167,14 +169,14 @@
         let Some(worker) = self.workers.get_mut(incarnation) else {
             return;
         };
-        if let Some(active) = worker.flights.get(&task).filter(|f| f.run == run) {
+        if let Some(active) = worker.active_runs.get(&task).filter(|f| f.run == run) {
             if active.unanswered {
-                return self.halt(incarnation, task, run, now);
+                return self.stop_run(incarnation, task, run, now);
             }
-            worker.flights.remove(&task);
-            self.forget_run(task, run);
+            worker.active_runs.remove(&task);
+            self.remove_run(task, run);
             if let Some(job) = self.jobs.get_mut(&task.job) {
-                job.retry.insert(task, now + REFUSED_PAUSE);
+                job.retry_at.insert(task, now + REFUSED_PAUSE);
             }
         }
     }
@@ -191,11 +193,11 @@
         let Some(worker) = self.workers.get_mut(incarnation) else {
             return;
         };
-        if let Some(active) = worker.flights.get_mut(&task)
+        if let Some(active) = worker.active_runs.get_mut(&task)
             && active.run == run
             && active.stage == Stage::Sent
         {
-            active.enter(Stage::Unsure, now);
+            active.enter(Stage::Unanswered, now);
             active.unanswered |= sent;
             if sent {
                 worker.note_unanswered(task, run, now);
--- a/crates/owner/src/orders/withdraw.rs
+++ b/crates/owner/src/orders/withdraw.rs
@@ -41,7 +41,7 @@
         self.retract(incarnation, task, run, now);
         let job = self.jobs.get(&task.job);
         if job.is_some_and(|job| job.step(task.step).gang) {
-            self.regroup(task, now);
+            self.restart_gang(task, now);
         }
     }
 }
@@ -51,7 +51,7 @@
     fn closed_reason(&self) -> Option<&'static str> {
         let reasons = [
             (self.overcommitted(), "its room has shrunk"),
-            (self.emptied, "its data centre is evacuated"),
+            (self.evacuated, "its data centre is evacuated"),
             (self.draining(), "the worker is leaving"),
         ];
         reasons.into_iter().find_map(|(holds, reason)| holds.then_some(reason))
--- a/crates/owner/src/placing/copy.rs
+++ b/crates/owner/src/placing/copy.rs
@@ -2,7 +2,7 @@
 
 use myrtle_job::{Task, TaskId};
 
-use crate::{Cell, Flight, Life, Stage, Worker};
+use crate::{ActiveRun, Cell, Presence, Stage, Worker};
 
 /// How long a worker may be silent before its runs are copied, in milliseconds: one lease renewal
 /// and its retry.
@@ -16,11 +16,11 @@
 
 impl Cell {
     /// Marks the jobs of runs that want a copy as open.
-    pub fn look_for_copies(&mut self, now: u64) {
+    pub fn find_late_runs(&mut self, now: u64) {
         let late: Vec<TaskId> = self
             .workers
             .values()
-            .flat_map(|w| w.flights.iter().filter(|(_, f)| f.copies && is_late(w, f, now)))
+            .flat_map(|w| w.active_runs.iter().filter(|(_, f)| f.copies && is_late(w, f, now)))
             .map(|(&task, _)| task)
             .collect();
         self.open.extend(late.into_iter().map(|task| task.job));
@@ -32,16 +32,18 @@
             return false;
         };
         let worker = self.workers.get(&run.worker);
-        let active = worker.and_then(|w| Some((w, w.flights.get(&id)?)));
-        let allowed = self.bears_copy(id);
+        let active = worker.and_then(|w| Some((w, w.active_runs.get(&id)?)));
+        let allowed = self.may_copy(id);
         !task.done && allowed && active.is_some_and(|(w, f)| f.copies && is_late(w, f, now))
     }
 }
 
-fn is_late(worker: &Worker, active: &Flight, now: u64) -> bool {
-    if worker.life != Life::Well {
-        return now.saturating_sub(worker.heard) > SILENT_LIMIT;
+fn is_late(worker: &Worker, active: &ActiveRun, now: u64) -> bool {
+    if worker.presence != Presence::Answering {
+        return now.saturating_sub(worker.answered_at) > SILENT_LIMIT;
     }
     let limit = (OVERDUE_FACTOR * active.estimate as f64) as u64 + OVERDUE_GRACE;
-    active.stage == Stage::Up && !active.lasting && now.saturating_sub(active.since) > limit
+    active.stage == Stage::Running
+        && !active.long_running
+        && now.saturating_sub(active.since) > limit
 }
--- a/crates/owner/src/placing/cost.rs
+++ b/crates/owner/src/placing/cost.rs
@@ -5,10 +5,10 @@
 
 use myrtle_job::{Incarnation, StepSpec, TaskId};
 
-use crate::disruption::pressure::Bearing;
+use crate::disruption::pressure::FillerSpeed;
 use crate::placing::search::Search;
 use crate::placing::tolerance::Tolerance;
-use crate::{Cell, Job, Life, Stage, Worker};
+use crate::{Cell, Job, Presence, Stage, Worker};
 
 /// The share of the processors it asks for that a filler must find free.
 const MIN_FILLER_SHARE: f64 = 0.5;
@@ -68,13 +68,13 @@
         task: TaskId,
         now: u64,
     ) -> Option<Incarnation> {
-        let avoided = job.shunned.get(&task).map_or(&[][..], Vec::as_slice);
+        let avoided = job.avoided.get(&task).map_or(&[][..], Vec::as_slice);
         self.pass.visit(self.workers.len());
         let mut search = Search::new(self, spec, task, job.tolerance(task, now), now);
-        let (suspect, waited) = (self.doubts(task), job.waited(now));
+        let (suspect, waited) = (self.is_suspected(task), job.waited(now));
         let mut best: Option<(f64, &Incarnation)> = None;
         for (incarnation, worker) in &self.workers {
-            if !worker.open(now) || !self.has_room(worker, job, spec, task) {
+            if !worker.accepts_work(now) || !self.has_room(worker, job, spec, task) {
                 continue;
             }
             if !self.pass.reservations.fits_beside(incarnation, worker, spec) {
@@ -83,7 +83,7 @@
             if spec.filler && self.about_to_halt(worker, now) {
                 continue;
             }
-            if self.on_trial(worker, task, suspect, waited, now) {
+            if self.quarantined(worker, task, suspect, waited, now) {
                 continue;
             }
             let ticketed = job.submission.policy.advice.is_some();
@@ -93,10 +93,10 @@
             let Some(mut cost) = self.cost(worker, &mut search) else {
                 continue;
             };
-            if now < worker.warm {
+            if now < worker.warm_at {
                 cost += COLD_COST;
             }
-            if avoided.contains(incarnation) || suspect && worker.just_begun(now) {
+            if avoided.contains(incarnation) || suspect && worker.just_started(now) {
                 cost += AVOID_COST;
             }
             if best.is_none_or(|(b, _)| cost < b) {
@@ -128,10 +128,12 @@
         let Some(listing) = &worker.listing else {
             return false;
         };
-        if listing.service != job.submission.policy.service || worker.flights.contains_key(&task) {
+        if listing.service != job.submission.policy.service
+            || worker.active_runs.contains_key(&task)
+        {
             return false;
         }
-        if spec.requires.as_deref().is_some_and(|label| !worker.labelled(label)) {
+        if spec.requires.as_deref().is_some_and(|label| !worker.has_label(label)) {
             return false;
         }
         spec.spread == 0 || step_tasks(worker, task) < usize::from(spec.spread)
@@ -144,7 +146,7 @@
         if spec.filler {
             return Some(cost + self.filler_cost(worker, search)?);
         }
-        if spec.lasting && !worker.lasts() {
+        if spec.lasting && !worker.has_long_running() {
             cost += NEW_WORKER_COST;
             if search.soft_left < worker.size() {
                 match search.tolerance {
@@ -157,7 +159,7 @@
         if spec.serves() {
             return Some(cost + self.serving_cost(worker, search));
         }
-        Some(cost - (worker.spare() - worker.filled()) / worker.size())
+        Some(cost - (worker.spare() - worker.filler_demand()) / worker.size())
     }
 
     /// The cost that depends on where the data and the other tasks of the step are.
@@ -169,7 +171,7 @@
             false => SAME_STEP_COST * step_tasks as f64,
         };
         if let Some(rack) = spec.rack.as_deref()
-            && !worker.labelled(rack)
+            && !worker.has_label(rack)
         {
             cost += AVOID_COST;
         }
@@ -188,9 +190,10 @@
     /// The free processors of workers without long-running tasks beyond the soft share, and beyond
     /// the share for short tasks, in thousandths of a core; negative if that share is used.
     pub(crate) fn long_running_left(&self, task: TaskId, now: u64) -> (f64, f64) {
-        let answering = self.workers.values().filter(|w| w.life == Life::Well && !w.emptied);
+        let answering =
+            self.workers.values().filter(|w| w.presence == Presence::Answering && !w.evacuated);
         let (empty, size, count) = answering.fold((0.0, 0.0, 0), |(empty, size, count), w| {
-            (empty + if w.lasts() { 0.0 } else { w.size() }, size + w.size(), count + 1)
+            (empty + if w.has_long_running() { 0.0 } else { w.size() }, size + w.size(), count + 1)
         });
         let priority = self.jobs.get(&task.job).map_or(0, |j| j.submission.policy.priority);
         (
@@ -204,19 +207,19 @@
     fn filler_cost(&self, worker: &Worker, search: &mut Search<'_>) -> Option<f64> {
         let spec = search.spec;
         let cpu = f64::from(spec.room.cpu);
-        let idle = worker.spare() - worker.filled();
+        let idle = worker.spare() - worker.filler_demand();
         if idle < MIN_FILLER_SHARE * cpu {
             return None;
         }
         let share = cpu / worker.size();
-        let mut speed = Bearing::new();
+        let mut speed = FillerSpeed::new();
         let mut pressure = 0.0;
-        for forecast in &worker.outlooks {
-            let effect = search.effect(&self.harm, &forecast.image);
+        for forecast in &worker.forecasts {
+            let effect = search.effect(&self.interference, &forecast.image);
             speed.count(forecast, effect.risk, share);
             pressure += f64::from(forecast.tasks) * effect.rise * share;
         }
-        let speed = speed.within(spec.estimate);
+        let speed = speed.mean_speed(spec.estimate);
         let min_speed = match search.tolerance {
             Tolerance::Strict => MIN_SPEED,
             Tolerance::Relaxed => MIN_SPEED_LATE,
@@ -230,9 +233,9 @@
 
     /// Prefers workers with similar serving tasks, and fills one worker before the next.
     fn serving_cost(&self, worker: &Worker, search: &mut Search<'_>) -> f64 {
-        let serving = worker.flights.values().filter(|f| f.target.is_some());
+        let serving = worker.active_runs.values().filter(|f| f.target.is_some());
         let (similar, distances) = serving.fold((false, 0.0), |(similar, distances), f| {
-            let distance = search.distance(&self.harm, f.image.as_deref().unwrap_or(""));
+            let distance = search.distance(&self.interference, f.image.as_deref().unwrap_or(""));
             (similar || distance < SIMILAR_BELOW, distances + distance)
         });
         let room = worker.size();
@@ -245,5 +248,5 @@
 fn step_tasks(worker: &Worker, task: TaskId) -> usize {
     let from = TaskId { index: 0, ..task };
     let to = TaskId { index: u16::MAX, ..task };
-    worker.flights.range(from..=to).filter(|(_, f)| f.stage != Stage::Stopped).count()
+    worker.active_runs.range(from..=to).filter(|(_, f)| f.stage != Stage::Stopped).count()
 }
--- a/crates/owner/src/placing/logging.rs
+++ b/crates/owner/src/placing/logging.rs
@@ -33,12 +33,12 @@
     /// The reason why no worker takes a task now.
     fn wait_reason(&self, job: &Job, task: TaskId, now: u64) -> &'static str {
         let spec = job.step(task.step);
-        let open = || self.workers.values().filter(|w| w.open(now));
+        let open = || self.workers.values().filter(|w| w.accepts_work(now));
         let able = || {
-            let open = self.workers.iter().filter(|(_, w)| w.open(now));
+            let open = self.workers.iter().filter(|(_, w)| w.accepts_work(now));
             open.filter(|(_, w)| self.has_room(w, job, spec, task))
         };
-        if self.all_emptied() {
+        if self.all_evacuated() {
             return "every data centre of the cell is being evacuated";
         }
         if open().next().is_none() {
@@ -51,7 +51,7 @@
         {
             return "free room is reserved for tasks that ran before";
         }
-        if able().all(|(_, w)| self.on_trial(w, task, false, 0, now)) {
+        if able().all(|(_, w)| self.quarantined(w, task, false, 0, now)) {
             return "a task that may have crashed a worker has just begun wherever there is room";
         }
         if job.submission.policy.advice.is_some() {
--- a/crates/owner/src/placing/place.rs
+++ b/crates/owner/src/placing/place.rs
@@ -4,7 +4,7 @@
 
 use myrtle_job::{Incarnation, JobId, Run, TaskId};
 
-use crate::{Cell, Flight, Stage};
+use crate::{ActiveRun, Cell, Stage};
 
 impl Cell {
     /// Places the tasks of a step one by one; true if some still wait.
@@ -20,7 +20,7 @@
                 break;
             }
             let job = &self.jobs[&id];
-            if job.retry.get(&task).is_some_and(|&at| at > now) {
+            if job.retry_at.get(&task).is_some_and(|&at| at > now) {
                 left = true;
                 continue;
             }
@@ -83,7 +83,7 @@
         let members: Vec<TaskId> = (0..tasks.len())
             .map(|index| TaskId { job: id, round, step, index: index as u16 })
             .collect();
-        if members.iter().any(|t| job.retry.get(t).is_some_and(|&at| at > now))
+        if members.iter().any(|t| job.retry_at.get(t).is_some_and(|&at| at > now))
             || self.pass.unplaced.contains(&members[0])
         {
             return true;
@@ -116,7 +116,7 @@
 
     /// Assigns the next run of a task to a worker; it starts once the log holds it.
     fn assign(&mut self, task: TaskId, incarnation: &Incarnation, number: Option<u32>, now: u64) {
-        let suspect = self.doubts(task);
+        let suspect = self.is_suspected(task);
         let Some(job) = self.jobs.get_mut(&task.job) else {
             return;
         };
@@ -127,21 +127,21 @@
         let run = number.unwrap_or(record.last + 1);
         record.last = run;
         record.live.push(Run { number: run, worker: incarnation.clone() });
-        job.retry.remove(&task);
+        job.retry_at.remove(&task);
         if !spec.lasting {
             job.waiting_since = None;
         }
         self.dirty.insert(task.job);
         if let Some(worker) = self.workers.get_mut(incarnation) {
-            let active = Flight { suspect, ..Flight::new(run, &spec, Stage::Written, now) };
-            worker.flights.insert(task, active);
+            let active = ActiveRun { suspect, ..ActiveRun::new(run, &spec, Stage::Written, now) };
+            worker.active_runs.insert(task, active);
             if spec.serves() {
                 // The load forecast has to include it before the next fillers are placed.
-                self.foreseen = 0;
+                self.forecast_at = 0;
             }
             if spec.filler {
                 let filler = spec.image.as_deref().unwrap_or("");
-                worker.expect(&self.harm, filler, spec.room.cpu);
+                worker.count_filler(&self.interference, filler, spec.room.cpu);
             }
         }
         debug!("event=placed task={task} run={run} worker={incarnation} fence={}", self.fence);
@@ -158,7 +158,7 @@
         record.last = number - 1;
         for run in runs {
             if let Some(worker) = self.workers.get_mut(&run.worker) {
-                worker.flights.remove(&task);
+                worker.active_runs.remove(&task);
             }
         }
     }
--- a/crates/owner/src/placing/plan.rs
+++ b/crates/owner/src/placing/plan.rs
@@ -63,7 +63,7 @@
         if !self.loaded {
             return false;
         }
-        self.foresee(now);
+        self.forecast_loads(now);
         if self.pass.considered.is_empty() {
             self.unplaceable.clear();
         }
--- a/crates/owner/src/placing/reservation.rs
+++ b/crates/owner/src/placing/reservation.rs
@@ -16,7 +16,7 @@
 use myrtle_base::Room;
 use myrtle_job::{Incarnation, JobId, StepSpec, TaskId};
 
-use crate::{Cell, Flight, Job, Stage, Worker};
+use crate::{ActiveRun, Cell, Job, Stage, Worker};
 
 /// How soon short tasks have to end for room to be reserved on a worker, in milliseconds.
 ///
@@ -114,13 +114,13 @@
     ) -> Option<Incarnation> {
         let job = &self.jobs[&task.job];
         self.pass.visit(self.workers.len());
-        let (suspect, waited) = (self.doubts(task), job.waited(now));
-        let avoided = job.shunned.get(&task).map_or(&[][..], Vec::as_slice);
+        let (suspect, waited) = (self.is_suspected(task), job.waited(now));
+        let avoided = job.avoided.get(&task).map_or(&[][..], Vec::as_slice);
         let candidates = self.workers.iter().filter(|(incarnation, worker)| {
-            worker.open(now)
+            worker.accepts_work(now)
                 && self.eligible(worker, job, spec, task)
                 && !avoided.contains(incarnation)
-                && !self.on_trial(worker, task, suspect, waited, now)
+                && !self.quarantined(worker, task, suspect, waited, now)
                 && (job.submission.policy.advice.is_none()
                     || job.ticket(task, incarnation, now).is_some())
         });
@@ -159,7 +159,7 @@
         if want.fits(&free) {
             return Some(0);
         }
-        let ends = self.flights.values().filter_map(|f| Some((f.time_left(now)?, f.claim)));
+        let ends = self.active_runs.values().filter_map(|f| Some((f.time_left(now)?, f.claim)));
         let mut ends: Vec<(u64, Room)> = ends.filter(|(left_ms, _)| *left_ms <= HORIZON).collect();
         ends.sort_unstable_by_key(|(left_ms, _)| *left_ms);
         for (left_ms, claim) in ends {
@@ -174,22 +174,22 @@
     /// The free room once the short tasks that should end within the horizon have ended.
     pub(crate) fn free_soon(&self, now: u64) -> Room {
         let soon = self
-            .flights
+            .active_runs
             .values()
             .filter(|f| f.time_left(now).is_some_and(|left_ms| left_ms <= HORIZON));
         soon.fold(self.free(), |free, active| free + active.claim)
     }
 }
 
-impl Flight {
+impl ActiveRun {
     /// The estimated time in milliseconds until the run ends; nothing if it is long-running. A run
     /// that has exceeded its estimate is expected to take as long again.
     fn time_left(&self, now: u64) -> Option<u64> {
         if matches!(self.stage, Stage::Stopping | Stage::Stopped) {
             return Some(0);
         }
-        let ran = self.begun.map_or(0, |begun| now.saturating_sub(begun));
+        let ran = self.started_at.map_or(0, |started_at| now.saturating_sub(started_at));
         let left_ms = if ran < self.estimate { self.estimate - ran } else { ran };
-        (!self.lasting).then_some(left_ms)
+        (!self.long_running).then_some(left_ms)
     }
 }
--- a/crates/owner/src/placing/search.rs
+++ b/crates/owner/src/placing/search.rs
@@ -5,7 +5,7 @@
 use myrtle_job::{StepSpec, TaskId};
 
 use crate::placing::tolerance::Tolerance;
-use crate::{Cell, Harm};
+use crate::{Cell, InterferenceModel};
 
 /// The search for a worker for one task.
 ///
@@ -57,23 +57,25 @@
     }
 
     /// The effect of the filler on a serving image.
-    pub(crate) fn effect(&mut self, harm: &Harm, image: &Arc<str>) -> Effect {
+    pub(crate) fn effect(&mut self, interference: &InterferenceModel, image: &Arc<str>) -> Effect {
         if let Some((_, effect)) = self.effects.iter().find(|(known, _)| known == image) {
             return *effect;
         }
         let filler = self.image();
-        let effect =
-            Effect { rise: harm.rise(image, filler, 1.0), risk: harm.risk(image, filler, 1.0) };
+        let effect = Effect {
+            rise: interference.added_pressure(image, filler, 1.0),
+            risk: interference.risk(image, filler, 1.0),
+        };
         self.effects.push((image.clone(), effect));
         effect
     }
 
     /// The distance of a serving image from the task's own.
-    pub(crate) fn distance(&mut self, harm: &Harm, image: &str) -> f64 {
+    pub(crate) fn distance(&mut self, interference: &InterferenceModel, image: &str) -> f64 {
         if let Some((_, distance)) = self.distances.iter().find(|(known, _)| known == image) {
             return *distance;
         }
-        let distance = harm.unlike(self.image(), image);
+        let distance = interference.dissimilarity(self.image(), image);
         self.distances.push((image.into(), distance));
         distance
     }
--- a/crates/owner/src/placing/tickets.rs
+++ b/crates/owner/src/placing/tickets.rs
@@ -43,12 +43,12 @@
 
 impl Cell {
     /// Takes the questions raised since the last call.
-    pub fn questions(&mut self) -> Vec<Question> {
+    pub fn take_questions(&mut self) -> Vec<Question> {
         std::mem::take(&mut self.questions)
     }
 
     /// Records which workers may run a step; `good` is nothing if there was no answer.
-    pub fn answered(
+    pub fn record_answer(
         &mut self,
         question: &Question,
         good: Option<Vec<(Incarnation, String)>>,
@@ -95,8 +95,10 @@
             return;
         }
         let has_valid = tickets.good.values().any(|(_, until)| *until > now);
-        let candidates =
-            self.workers.iter().filter(|(_, w)| w.open(now) && self.has_room(w, job, spec, task));
+        let candidates = self
+            .workers
+            .iter()
+            .filter(|(_, w)| w.accepts_work(now) && self.has_room(w, job, spec, task));
         // Answers don't change, so workers that were refused aren't asked about again.
         let candidates = candidates
             .filter(|(id, _)| !tickets.asked.contains(id) || tickets.good.contains_key(*id));
--- a/crates/owner/src/summary.rs
+++ b/crates/owner/src/summary.rs
@@ -2,17 +2,17 @@
 
 use derive_more::Display;
 
-use crate::{Cell, Life};
+use crate::{Cell, Presence};
 
 /// A summary of a cell.
 #[derive(Debug, Default, Clone, PartialEq, Display)]
 #[display(
     "jobs={jobs} open={open} waiting={waiting} workers={workers} silent={silent} serving={serving} \
-     fillers={fillers} slowed={slowed} others={others} over={over} cores={cores:.0} \
+     fillers={fillers} slowed={throttled} others={others} over={over_target} cores={cores:.0} \
      spare={spare:.0} filled={filled:.0} claimed={claimed:.2} \
-     given_up={given_up} emptied={emptied}"
+     given_up={given_up} emptied={evacuated}"
 )]
-pub struct Gist {
+pub struct CellSummary {
     /// Jobs that are not over.
     pub jobs: usize,
     /// Jobs with tasks that may have to be placed.
@@ -28,11 +28,11 @@
     /// Runs of fillers.
     pub fillers: usize,
     /// Throttled runs.
-    pub slowed: usize,
+    pub throttled: usize,
     /// Other runs.
     pub others: usize,
     /// Serving runs that exceed their target latency.
-    pub over: usize,
+    pub over_target: usize,
     /// Cores of the workers that answer.
     pub cores: f64,
     /// Idle cores that fillers could use.
@@ -44,42 +44,42 @@
     /// Jobs that this owner has given up because a task of theirs crashed its workers.
     pub given_up: u64,
     /// Workers in evacuated data centres.
-    pub emptied: usize,
+    pub evacuated: usize,
 }
 
 impl Cell {
     /// Summarizes the cell.
-    pub fn gist(&self) -> Gist {
-        let given_up = self.counts.crashers;
-        let mut gist = Gist { open: self.open.len(), given_up, ..Gist::default() };
-        gist.jobs = self.jobs.values().filter(|j| !j.progress.state.over()).count();
+    pub fn summary(&self) -> CellSummary {
+        let given_up = self.counts.given_up;
+        let mut summary = CellSummary { open: self.open.len(), given_up, ..CellSummary::default() };
+        summary.jobs = self.jobs.values().filter(|j| !j.progress.state.over()).count();
         for id in &self.open {
             let Some(job) = self.jobs.get(id) else {
                 continue;
             };
-            gist.waiting += job.waiting(*id);
+            summary.waiting += job.waiting(*id);
         }
         for worker in self.workers.values() {
-            gist.emptied += usize::from(worker.emptied);
-            if worker.life != Life::Well {
-                gist.silent += usize::from(worker.listed);
+            summary.evacuated += usize::from(worker.evacuated);
+            if worker.presence != Presence::Answering {
+                summary.silent += usize::from(worker.listed);
                 continue;
             }
-            gist.workers += 1;
-            gist.cores += f64::from(worker.room().cpu) / 1000.0;
-            gist.spare += worker.spare() / 1000.0;
-            gist.filled += worker.filled() / 1000.0;
-            for active in worker.flights.values() {
+            summary.workers += 1;
+            summary.cores += f64::from(worker.room().cpu) / 1000.0;
+            summary.spare += worker.spare() / 1000.0;
+            summary.filled += worker.filler_demand() / 1000.0;
+            for active in worker.active_runs.values() {
                 match (active.target, active.filler) {
-                    (Some(_), _) => gist.serving += 1,
-                    (None, true) => gist.fillers += 1,
-                    (None, false) => gist.others += 1,
+                    (Some(_), _) => summary.serving += 1,
+                    (None, true) => summary.fillers += 1,
+                    (None, false) => summary.others += 1,
                 }
-                gist.slowed += usize::from(active.pace < 100);
-                gist.over += usize::from(active.over.is_some());
+                summary.throttled += usize::from(active.speed_limit < 100);
+                summary.over_target += usize::from(active.over_since.is_some());
             }
         }
-        gist.claimed = self.total_load().share(0.0);
-        gist
+        summary.claimed = self.total_load().share(0.0);
+        summary
     }
 }
--- a/crates/owner/src/workers/crash.rs
+++ b/crates/owner/src/workers/crash.rs
@@ -12,7 +12,7 @@
 use myrtle_job::{Crashes, Incarnation, Loss, State, TaskId};
 
 use crate::placing::step::step_of;
-use crate::{Cell, Flight, Life, Stage, Worker};
+use crate::{ActiveRun, Cell, Presence, Stage, Worker};
 
 /// How long after its start a task is suspected first, in milliseconds: longer than a busy worker
 /// goes without an answer.
@@ -49,7 +49,7 @@
 pub(crate) enum Cause {
     /// Another worker or incarnation answers at its address, or its machine is going down.
     #[display("another incarnation answers at its address")]
-    Succeeded,
+    Replaced,
     /// The worker has restarted under its id.
     #[display("it has restarted")]
     Restarted,
@@ -71,7 +71,7 @@
 
 impl Cell {
     /// Records that a worker has stopped answering, or has never answered.
-    pub(crate) fn note_silence(&mut self, incarnation: &Incarnation, now: u64) {
+    pub(crate) fn record_silence(&mut self, incarnation: &Incarnation, now: u64) {
         self.silences.retain(|s| now < s.since + SILENCE_KEPT);
         let Some(worker) = self.workers.get(incarnation) else {
             return;
@@ -80,9 +80,10 @@
             return;
         }
         // Workers that have not answered this owner may have been lost together before it began.
-        let answered = worker.life != Life::Unmet;
-        let no_starts = !answered || !worker.flights.values().any(|f| recent(f, worker.heard));
-        let since = if answered { now } else { self.began };
+        let answered = worker.presence != Presence::Unreached;
+        let no_starts =
+            !answered || !worker.active_runs.values().any(|f| recent(f, worker.answered_at));
+        let since = if answered { now } else { self.began_at };
         self.silences.push(Silence { incarnation: incarnation.clone(), since, no_starts });
     }
 
@@ -102,22 +103,23 @@
     /// Otherwise a task that crashes its workers would be started again for as long as its job is
     /// known, each time with the loss of the other runs on the worker: 34 times in two minutes,
     /// with 6 to 18 runs of others lost each time.
-    pub(crate) fn count_crash(
+    pub(crate) fn count_loss_of(
         &mut self,
         incarnation: &Incarnation,
-        runs: &[(TaskId, Flight)],
+        runs: &[(TaskId, ActiveRun)],
         answered_at: u64,
     ) {
         let silent_since = self.lost_alone(incarnation);
         let alone = silent_since.is_some();
         // An isolated task whose worker is lost again is the cause, and the others are not.
-        let isolated = |f: &Flight| f.suspect && f.begun.is_some() && recent(f, answered_at);
+        let isolated =
+            |f: &ActiveRun| f.suspect && f.started_at.is_some() && recent(f, answered_at);
         let repeated = alone && runs.iter().any(|(_, f)| isolated(f));
         for (task, active) in runs.iter().filter(|(_, f)| maybe_started(f)) {
             let recent = recent(active, answered_at);
-            let age = active
-                .begun
-                .map_or(0, |begun| silent_since.unwrap_or(answered_at).saturating_sub(begun));
+            let age = active.started_at.map_or(0, |started_at| {
+                silent_since.unwrap_or(answered_at).saturating_sub(started_at)
+            });
             if age >= TRUSTED_AFTER {
                 self.clear(*task);
             } else if recent || !repeated {
@@ -144,7 +146,7 @@
             );
         }
         if crashes.too_many() {
-            self.doomed.insert(task);
+            self.given_up_tasks.insert(task);
         }
         self.dirty.insert(task.job);
     }
@@ -171,7 +173,7 @@
 
     /// Ends jobs with tasks that have crashed too many workers.
     pub fn give_up(&mut self, now: u64, wall: u64) {
-        for task in std::mem::take(&mut self.doomed) {
+        for task in std::mem::take(&mut self.given_up_tasks) {
             let Some(job) = self.jobs.get(&task.job).filter(|j| !j.progress.state.over()) else {
                 continue;
             };
@@ -182,11 +184,11 @@
                 job.progress.crashes.get(&task).copied().unwrap_or_default();
             if job.progress.guest || job.progress.moved.is_some() {
                 warn!("event=task-given-back task={task} crashes={seen} doubts={doubts}");
-                self.give_back(task);
+                self.return_task(task);
                 continue;
             }
             warn!("event=job-failed job={} task={task} crashes={seen} doubts={doubts}", task.job);
-            self.counts.crashers += 1;
+            self.counts.given_up += 1;
             self.finish(task.job, State::Failed, now, wall);
         }
     }
@@ -194,21 +196,21 @@
     /// Clears the losses of a task whose run has lasted long enough.
     pub(crate) fn trust(&mut self, incarnation: &Incarnation, task: TaskId, now: u64) {
         let worker = self.workers.get(incarnation);
-        let begun = worker.and_then(|w| w.flights.get(&task)).and_then(|f| f.begun);
-        if begun.is_some_and(|at| now >= at + TRUSTED_AFTER) {
+        let started_at = worker.and_then(|w| w.active_runs.get(&task)).and_then(|f| f.started_at);
+        if started_at.is_some_and(|at| now >= at + TRUSTED_AFTER) {
             self.clear(task);
         }
     }
 
     /// Whether a task is suspected of crashing a worker.
-    pub(crate) fn doubts(&self, task: TaskId) -> bool {
+    pub(crate) fn is_suspected(&self, task: TaskId) -> bool {
         let job = self.jobs.get(&task.job);
         job.and_then(|j| j.progress.crashes.get(&task)).is_some_and(|c| c.doubts > 0)
     }
 
     /// Whether a task may have a copy beside its only run: both could crash their workers before
     /// either loss is known.
-    pub(crate) fn bears_copy(&self, task: TaskId) -> bool {
+    pub(crate) fn may_copy(&self, task: TaskId) -> bool {
         let job = self.jobs.get(&task.job);
         job.and_then(|j| j.progress.crashes.get(&task)).is_none_or(Crashes::bears_copy)
     }
@@ -218,7 +220,7 @@
     ///
     /// Tasks of its own gang don't prevent it: they only start together, and a gang with more
     /// suspected tasks than there are workers would wait for ever.
-    pub(crate) fn on_trial(
+    pub(crate) fn quarantined(
         &self,
         worker: &Worker,
         task: TaskId,
@@ -226,15 +228,17 @@
         waited: u64,
         now: u64,
     ) -> bool {
-        if !worker.flights.sums().suspect {
+        if !worker.active_runs.sums().suspect {
             return false;
         }
         let wait = if suspect { SUSPECT_WAIT } else { ISOLATION_WAIT };
         let isolation = if waited < wait { ISOLATION } else { FRESH_MS };
         let gang = self.jobs.get(&task.job).is_some_and(|job| job.step(task.step).gang);
         let own = |other: TaskId| gang && step_of(other) == step_of(task);
-        let suspects = worker.flights.iter().filter(|(other, f)| f.suspect && !own(**other));
-        suspects.map(|(_, f)| f).any(|f| f.begun.is_none_or(|begun| now < begun + isolation))
+        let suspects = worker.active_runs.iter().filter(|(other, f)| f.suspect && !own(**other));
+        suspects
+            .map(|(_, f)| f)
+            .any(|f| f.started_at.is_none_or(|started_at| now < started_at + isolation))
     }
 }
 
@@ -250,33 +254,37 @@
         let Some(worker) = self.workers.get(incarnation) else {
             return false;
         };
-        let unreachable = cause == Cause::Lapsed && worker.listed && now >= self.blind + STALE_LIST;
-        !unreachable && !worker.parts()
+        let unreachable =
+            cause == Cause::Lapsed && worker.listed && now >= self.unreadable_at + STALE_LIST;
+        !unreachable && !worker.loss_expected()
     }
 }
 
 impl Worker {
     /// Whether some run has started here so recently that it would be suspected of a crash.
-    pub(crate) fn just_begun(&self, now: u64) -> bool {
-        self.flights.values().any(|f| f.begun.is_none_or(|b| now < b + FRESH_MS))
+    pub(crate) fn just_started(&self, now: u64) -> bool {
+        self.active_runs.values().any(|f| f.started_at.is_none_or(|b| now < b + FRESH_MS))
     }
 
     /// Whether its loss is no crash: it was about to leave, or is being drained for maintenance.
-    pub(crate) fn parts(&self) -> bool {
-        let left = !self.listed && self.unlisted_at <= self.heard && self.life != Life::Unmet;
+    pub(crate) fn loss_expected(&self) -> bool {
+        let left = !self.listed
+            && self.unlisted_at <= self.answered_at
+            && self.presence != Presence::Unreached;
         self.draining() || self.in_maintenance || left
     }
 }
 
 /// Whether a run may have started at all.
-fn maybe_started(active: &Flight) -> bool {
+fn maybe_started(active: &ActiveRun) -> bool {
     // A run that is being stopped may still be there: if one run of a gang is lost, the others are
     // stopped.
-    let sent = !matches!(active.stage, Stage::Written | Stage::Unsure);
-    sent || active.begun.is_some() || active.unanswered
+    let sent = !matches!(active.stage, Stage::Written | Stage::Unanswered);
+    sent || active.started_at.is_some() || active.unanswered
 }
 
 /// Whether a run may have started shortly before its worker's last answer, or after it.
-fn recent(active: &Flight, answered_at: u64) -> bool {
-    maybe_started(active) && active.begun.is_none_or(|begun| answered_at <= begun + FRESH_MS)
+fn recent(active: &ActiveRun, answered_at: u64) -> bool {
+    maybe_started(active)
+        && active.started_at.is_none_or(|started_at| answered_at <= started_at + FRESH_MS)
 }
--- a/crates/owner/src/workers/drain.rs
+++ b/crates/owner/src/workers/drain.rs
@@ -5,7 +5,7 @@
 use myrtle_job::{Incarnation, TaskId};
 
 use crate::placing::step::step_of;
-use crate::{Cell, Life, Stage, Worker};
+use crate::{Cell, Presence, Stage, Worker};
 
 /// The time that a move needs besides the stop itself, in milliseconds.
 const MOVE_MARGIN: u64 = 400;
@@ -20,18 +20,20 @@
 
 impl Cell {
     /// Stops runs that would not end before their worker leaves, so that they continue elsewhere.
-    pub fn evacuate(&mut self, now: u64) {
+    pub fn drain_leaving(&mut self, now: u64) {
         self.update_leaving(now);
         let mut moves: Vec<(Incarnation, TaskId, u32)> = Vec::new();
-        let answering = self.workers.iter().filter(|(_, w)| w.life == Life::Well);
+        let answering = self.workers.iter().filter(|(_, w)| w.presence == Presence::Answering);
         for (incarnation, worker) in answering.filter(|(_, w)| w.leaving) {
-            let remaining = worker.leaves.map(|l| l.saturating_sub(now));
-            for (&task, active) in worker.flights.iter().filter(|(_, f)| f.stage == Stage::Up) {
-                if active.lasting {
+            let remaining = worker.leaves_at.map(|l| l.saturating_sub(now));
+            for (&task, active) in
+                worker.active_runs.iter().filter(|(_, f)| f.stage == Stage::Running)
+            {
+                if active.long_running {
                     let moving = moves.iter().any(|(_, t, _)| step_of(*t) == step_of(task));
                     // A run that is about to end with its worker becomes unavailable in any case;
                     // stopped, its end is certain.
-                    let last = remaining.is_some_and(|l| l <= self.bounds.stop + MOVE_MARGIN);
+                    let last = remaining.is_some_and(|l| l <= self.limits.max_stop + MOVE_MARGIN);
                     if last || self.may_move(task, now) && !moving {
                         moves.push((incarnation.clone(), task, active.run));
                     }
@@ -39,7 +41,8 @@
                 }
                 let share = 1.0 - active.percent / 100.0;
                 let remaining_work = (active.estimate as f64 * share) as u64;
-                if remaining.is_some_and(|l| remaining_work + self.bounds.stop + MOVE_MARGIN > l)
+                if remaining
+                    .is_some_and(|l| remaining_work + self.limits.max_stop + MOVE_MARGIN > l)
                     && active.saves
                 {
                     moves.push((incarnation.clone(), task, active.run));
@@ -51,14 +54,14 @@
                 "event=move task={task} run={run} worker={incarnation} reason=\"the worker is leaving\""
             );
             self.counts.moved += 1;
-            self.halt(&incarnation, task, run, now);
+            self.stop_run(&incarnation, task, run, now);
         }
     }
 
     /// Updates which of the answering workers are about to leave; the log keeps it for a successor
     /// that may never reach them.
     fn update_leaving(&mut self, now: u64) {
-        let answering = self.workers.iter().filter(|(_, w)| w.life == Life::Well);
+        let answering = self.workers.iter().filter(|(_, w)| w.presence == Presence::Answering);
         let changed = answering.filter(|(_, w)| self.leaves(w, now) != w.leaving);
         let changed: Vec<Incarnation> =
             changed.map(|(incarnation, _)| incarnation.clone()).collect();
@@ -76,7 +79,7 @@
         worker.draining()
             || unlisted
                 && now >= worker.unlisted_at + LEFT_AFTER
-                && now >= self.blind + RELIST_WITHIN
+                && now >= self.unreadable_at + RELIST_WITHIN
     }
 
     /// Moves runs off a worker; true once it has none.
@@ -84,12 +87,13 @@
         let Some(worker) = self.workers.get(incarnation) else {
             return true;
         };
-        if worker.flights.is_empty() {
+        if worker.active_runs.is_empty() {
             return true;
         }
         let mut moves: Vec<(TaskId, u32)> = Vec::new();
-        for (&task, active) in worker.flights.iter().filter(|(_, f)| f.stage == Stage::Up) {
-            let free = match active.lasting {
+        for (&task, active) in worker.active_runs.iter().filter(|(_, f)| f.stage == Stage::Running)
+        {
+            let free = match active.long_running {
                 true => {
                     let moving = moves.iter().any(|(t, _)| step_of(*t) == step_of(task));
                     !moving && self.may_move(task, now)
@@ -105,7 +109,7 @@
                 "event=move task={task} run={run} worker={incarnation} reason=\"maintenance of its machine\""
             );
             self.counts.moved += 1;
-            self.halt(incarnation, task, run, now);
+            self.stop_run(incarnation, task, run, now);
         }
         false
     }
@@ -116,7 +120,7 @@
         let Some(job) = self.jobs.get(&task.job) else {
             return true;
         };
-        let Some(budget) = job.allowance(task.step) else {
+        let Some(budget) = job.disruption_budget(task.step) else {
             return true;
         };
         let Some(round) = job.progress.rounds.get(&task.round) else {
@@ -126,11 +130,11 @@
         let unavailable = tasks.iter().enumerate().filter(|(index, t)| {
             let id = TaskId { index: *index as u16, ..task };
             if job.progress.away(id) {
-                return job.handed_lately(now);
+                return job.transfer_pending(now);
             }
             !t.live.iter().any(|r| {
-                let active = self.workers.get(&r.worker).and_then(|w| w.flights.get(&id));
-                active.is_some_and(|f| f.stage == Stage::Up && f.percent >= 100.0)
+                let active = self.workers.get(&r.worker).and_then(|w| w.active_runs.get(&id));
+                active.is_some_and(|f| f.stage == Stage::Running && f.percent >= 100.0)
             })
         });
         unavailable.count() < usize::from(budget)
--- a/crates/owner/src/workers/evacuated.rs
+++ b/crates/owner/src/workers/evacuated.rs
@@ -12,29 +12,29 @@
 impl Cell {
     /// Sets which data centres are evacuated; waiting tasks may find workers elsewhere, or in a
     /// data centre that is available again.
-    pub fn empty_centres(&mut self, centres: &BTreeSet<String>) {
-        if *centres == self.emptied {
+    pub fn evacuate_centres(&mut self, centres: &BTreeSet<String>) {
+        if *centres == self.evacuated {
             return;
         }
-        for centre in centres.symmetric_difference(&self.emptied) {
+        for centre in centres.symmetric_difference(&self.evacuated) {
             let there = || self.workers.values().filter(|w| w.data_centre() == Some(centre));
-            let runs: usize = there().map(|w| w.flights.len()).sum();
+            let runs: usize = there().map(|w| w.active_runs.len()).sum();
             info!(
                 "event=data-centre-emptied data_centre={centre} emptied={} workers={} runs={runs}",
                 centres.contains(centre),
                 there().count()
             );
         }
-        self.emptied.clone_from(centres);
+        self.evacuated.clone_from(centres);
         for worker in self.workers.values_mut() {
-            worker.update_evacuated(&self.emptied);
+            worker.update_evacuated(&self.evacuated);
         }
     }
 
     /// Whether every listed worker of the cell is in an evacuated data centre.
-    pub(crate) fn all_emptied(&self) -> bool {
+    pub(crate) fn all_evacuated(&self) -> bool {
         let mut listed = self.workers.values().filter(|w| w.listed);
-        !self.emptied.is_empty() && listed.all(|w| w.emptied)
+        !self.evacuated.is_empty() && listed.all(|w| w.evacuated)
     }
 }
 
@@ -46,6 +46,6 @@
 
     /// Updates whether its data centre is evacuated.
     pub(crate) fn update_evacuated(&mut self, centres: &BTreeSet<String>) {
-        self.emptied = self.data_centre().is_some_and(|own| centres.contains(own));
+        self.evacuated = self.data_centre().is_some_and(|own| centres.contains(own));
     }
 }
--- a/crates/owner/src/workers/health.rs
+++ b/crates/owner/src/workers/health.rs
@@ -29,19 +29,25 @@
 
 impl Cell {
     /// Counts the end of a run for or against its worker.
-    pub(crate) fn judge(&mut self, incarnation: &Incarnation, how: How, task: TaskId, now: u64) {
+    pub(crate) fn count_end(
+        &mut self,
+        incarnation: &Incarnation,
+        how: How,
+        task: TaskId,
+        now: u64,
+    ) {
         let Some(worker) = self.workers.get_mut(incarnation) else {
             return;
         };
         match how {
             How::Done => {
-                worker.fails = 0;
+                worker.failures = 0;
                 worker.backoffs = 0;
             }
             How::Failed => {
-                worker.fails += 1;
-                if worker.fails >= MAX_FAILS {
-                    worker.fails = MAX_FAILS - 1;
+                worker.failures += 1;
+                if worker.failures >= MAX_FAILS {
+                    worker.failures = MAX_FAILS - 1;
                     let backoff = (FIRST_BACKOFF << worker.backoffs.min(4)).min(MAX_BACKOFF);
                     worker.backoffs += 1;
                     warn!(
@@ -60,10 +66,10 @@
             return;
         };
         let stalled: Vec<_> = worker
-            .flights
+            .active_runs
             .iter()
-            .filter(|(_, f)| f.stage == Stage::Up && f.pace >= MIN_CHECKED_LIMIT)
-            .filter(|(_, f)| !f.lasting || f.percent < 100.0)
+            .filter(|(_, f)| f.stage == Stage::Running && f.speed_limit >= MIN_CHECKED_LIMIT)
+            .filter(|(_, f)| !f.long_running || f.percent < 100.0)
             .filter(|(_, f)| {
                 let allowed = STALLED_MS.max(f.estimate / STALLED_DIVISOR);
                 now.saturating_sub(f.changed_at.max(f.since)) > allowed
@@ -75,13 +81,13 @@
                 "event=run-still task={task} run={run} worker={incarnation} percent={percent} figure={figure}"
             );
             if let Some(job) = self.jobs.get_mut(&task.job) {
-                job.shunned.entry(task).or_default().push(incarnation.clone());
+                job.avoided.entry(task).or_default().push(incarnation.clone());
             }
             if !filler {
                 self.back_off(incarnation, now + FIRST_BACKOFF);
             }
             self.counts.moved += 1;
-            self.halt(incarnation, task, run, now);
+            self.stop_run(incarnation, task, run, now);
         }
     }
 }
--- a/crates/owner/src/workers/lease.rs
+++ b/crates/owner/src/workers/lease.rs
@@ -6,7 +6,7 @@
 use myrtle_job::Incarnation;
 
 use crate::workers::crash::Cause;
-use crate::{Cell, Life, Worker};
+use crate::{Cell, Presence, Worker};
 
 /// How much slower than the host's a worker's clock may run, as a share; set by the platform.
 const CLOCK_DRIFT: f64 = 0.02;
@@ -16,29 +16,29 @@
 
 /// The contents of a lease renewal.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct HoldArgs {
+pub struct RenewalArgs {
     /// The fencing token.
     pub fence: u64,
     /// The number up to which ends are in the log.
-    pub seen: u64,
+    pub logged_ends: u64,
     /// The end of the lease on the worker's clock, if that clock is known.
     pub until: Option<u64>,
     /// Whether the log has to be written first: it lacks ends that were received, or its record
     /// forbids leases.
-    pub behind: bool,
+    pub log_first: bool,
 }
 
 impl Cell {
     /// The contents of the next lease renewal of an incarnation; none if it needs no more.
-    pub fn hold_args(&mut self, incarnation: &Incarnation, now: u64) -> Option<HoldArgs> {
+    pub fn renewal_args(&mut self, incarnation: &Incarnation, now: u64) -> Option<RenewalArgs> {
         let until = self.until(incarnation, now);
         let worker = self.workers.get(incarnation)?;
-        if worker.life == Life::Gone && !worker.listed {
+        if worker.presence == Presence::Gone && !worker.listed {
             return None;
         }
-        let withheld = worker.life == Life::Well && worker.wait.forbids_leases();
-        let behind = worker.taken > worker.noted || withheld;
-        Some(HoldArgs { fence: self.fence, seen: worker.noted, until, behind })
+        let withheld = worker.presence == Presence::Answering && worker.wait.forbids_leases();
+        let log_first = worker.received_ends > worker.logged_ends || withheld;
+        Some(RenewalArgs { fence: self.fence, logged_ends: worker.logged_ends, until, log_first })
     }
 
     /// The end of a lease that begins now, on the worker's clock; recorded as given out.
@@ -47,9 +47,9 @@
     /// runs are certain to have ended. Nor does a worker whose record in the log says that none has
     /// been given out.
     pub fn until(&mut self, incarnation: &Incarnation, now: u64) -> Option<u64> {
-        let lease = self.bounds.hold;
+        let lease = self.limits.max_lease;
         let worker = self.workers.get_mut(incarnation)?;
-        if worker.life != Life::Well || worker.wait.forbids_leases() {
+        if worker.presence != Presence::Answering || worker.wait.forbids_leases() {
             return None;
         }
         let (clock, at) = worker.clock?;
@@ -60,7 +60,7 @@
 
     /// Updates a worker's clock from a reply received at `now`.
     pub(crate) fn update_clock(&mut self, incarnation: &Incarnation, clock: u64, now: u64) {
-        let lease = self.bounds.hold;
+        let lease = self.limits.max_lease;
         let Some(worker) = self.workers.get_mut(incarnation) else {
             return;
         };
@@ -71,27 +71,27 @@
         if worker.clock.is_none_or(|(c, _)| clock >= c) {
             worker.clock = Some((clock, now));
         }
-        worker.heard = now;
+        worker.answered_at = now;
     }
 
     /// Gives up the runs on workers whose leases have certainly expired.
-    pub fn lapse(&mut self, now: u64) {
+    pub fn expire(&mut self, now: u64) {
         let expired: Vec<Incarnation> = self
             .workers
             .iter()
-            .filter(|(_, w)| matches!(w.life, Life::Unmet | Life::Silent))
+            .filter(|(_, w)| matches!(w.presence, Presence::Unreached | Presence::Silent))
             .filter(|(id, _)| self.expired(id, now))
             .map(|(id, _)| id.clone())
             .collect();
         for incarnation in expired {
-            self.lose(&incarnation, Cause::Lapsed, now);
+            self.remove_runs(&incarnation, Cause::Lapsed, now);
         }
         self.update_waits(now);
         let before = self.workers.len();
         self.workers.retain(|incarnation, w| {
-            let kept = w.listed || w.life != Life::Gone;
+            let kept = w.listed || w.presence != Presence::Gone;
             if !kept && w.logged {
-                self.untraced.push(incarnation.clone());
+                self.obsolete_records.push(incarnation.clone());
             }
             kept
         });
@@ -114,7 +114,7 @@
 
     /// How long a lease that is given out now may last, in milliseconds of the host's clock.
     pub(crate) fn max_lease(&self) -> u64 {
-        on_slow_clock(self.bounds.hold) + MARGIN
+        on_slow_clock(self.limits.max_lease) + MARGIN
     }
 }
 
--- a/crates/owner/src/workers/list.rs
+++ b/crates/owner/src/workers/list.rs
@@ -13,7 +13,7 @@
     /// their workers, the last write of a crashed worker may land after the first write of the
     /// next, and the records in the log are older than either. The worker at the address is asked
     /// instead.
-    pub fn list(&mut self, id: &str, listing: Listing, now: u64) {
+    pub fn apply_listing(&mut self, id: &str, listing: Listing, now: u64) {
         let incarnation = self.listed_as(id, listing.start);
         if self.has_ended(&incarnation) {
             return debug!("event=entry-past worker={incarnation}");
@@ -33,30 +33,35 @@
         }
         if listing.draining {
             let leaves = listing.remaining.map(|r| now + r);
-            worker.leaves = worker.leaves.or(leaves);
+            worker.leaves_at = worker.leaves_at.or(leaves);
         }
-        worker.warm = now + listing.cold;
+        worker.warm_at = now + listing.cold;
         worker.listing = Some(listing);
-        worker.update_evacuated(&self.emptied);
+        worker.update_evacuated(&self.evacuated);
         worker.listed = true;
-        worker.read = true;
+        worker.entry_read = true;
     }
 
     /// Notes that the list could not be read: entries may expire meanwhile though their workers are
     /// alive.
     pub fn list_missed(&mut self, now: u64) {
-        self.blind = now;
+        self.unreadable_at = now;
     }
 
     /// Notes that a worker is no longer listed; its runs may go on.
-    pub fn unlist(&mut self, id: &str, now: u64) {
-        let listed =
-            self.of_id(id).filter(|(_, w)| w.listed).map(|(incarnation, _)| incarnation.clone());
+    pub fn remove_listing(&mut self, id: &str, now: u64) {
+        let listed = self
+            .incarnations(id)
+            .filter(|(_, w)| w.listed)
+            .map(|(incarnation, _)| incarnation.clone());
         for incarnation in listed.collect::<Vec<_>>() {
             if let Some(worker) = self.workers.get_mut(&incarnation) {
                 worker.listed = false;
                 worker.unlisted_at = now;
-                info!("event=worker-unlisted worker={incarnation} runs={}", worker.flights.len());
+                info!(
+                    "event=worker-unlisted worker={incarnation} runs={}",
+                    worker.active_runs.len()
+                );
             }
         }
     }
--- a/crates/owner/src/workers/trace.rs
+++ b/crates/owner/src/workers/record.rs
@@ -14,7 +14,7 @@
 use crate::{Cell, Worker};
 
 /// A worker's encoded description for the log; an empty value removes it.
-pub type Trace = (Incarnation, Vec<u8>);
+pub type WorkerRecord = (Incarnation, Vec<u8>);
 
 /// The record of a worker; fields were added at the end.
 #[derive(Debug, Serialize, Deserialize)]
@@ -40,7 +40,7 @@
     /// # Errors
     ///
     /// The bytes can't be decoded as a record.
-    pub fn recall_worker(
+    pub fn restore_worker(
         &mut self,
         incarnation: &Incarnation,
         record: &[u8],
@@ -48,24 +48,24 @@
     ) -> Result<(), RecordError> {
         let Record { listing, wait } = Record::read(record)?;
         let leaving = listing.draining;
-        let last = self.earlier.last().copied();
-        let wait = Wait::inherited(wait, last, &self.ended, now);
+        let last = self.earlier_owners.last().copied();
+        let wait = Wait::inherited(wait, last, &self.ended_owners, now);
         let worker = self.workers.entry(incarnation.clone()).or_insert_with(|| Worker::new(now));
         worker.wait = wait;
         worker.listing.get_or_insert(listing);
-        worker.update_evacuated(&self.emptied);
+        worker.update_evacuated(&self.evacuated);
         worker.logged = true;
         (worker.leaving, worker.leaving_logged) = (leaving, leaving);
         Ok(())
     }
 
     /// The records that have to be in the log before the starts written now are sent.
-    pub(crate) fn traces(&mut self) -> Vec<Trace> {
-        let forgotten = std::mem::take(&mut self.untraced);
-        let mut traces: Vec<_> =
-            forgotten.into_iter().map(|incarnation| (incarnation, Vec::new())).collect();
+    pub(crate) fn worker_records(&mut self) -> Vec<WorkerRecord> {
+        let obsolete = std::mem::take(&mut self.obsolete_records);
+        let mut records: Vec<_> =
+            obsolete.into_iter().map(|incarnation| (incarnation, Vec::new())).collect();
         let changed = |w: &Worker| !w.logged || w.leaving != w.leaving_logged;
-        let due = |w: &Worker| !w.flights.is_empty() && changed(w) || w.wait.due();
+        let due = |w: &Worker| !w.active_runs.is_empty() && changed(w) || w.wait.due();
         for (incarnation, worker) in self.workers.iter_mut().filter(|(_, w)| due(w)) {
             let Some(mut listing) = worker.listing.clone() else {
                 continue;
@@ -73,14 +73,14 @@
             listing.draining = worker.leaving;
             worker.leaving_logged = worker.leaving;
             let record = Record { listing, wait: worker.wait.take_due() };
-            traces.push((incarnation.clone(), encode(&record)));
+            records.push((incarnation.clone(), encode(&record)));
         }
-        traces
+        records
     }
 
     /// Marks these records as written to the log.
-    pub(crate) fn mark_logged(&mut self, traces: Vec<Trace>) {
-        for (incarnation, record) in traces {
+    pub(crate) fn mark_logged(&mut self, records: Vec<WorkerRecord>) {
+        for (incarnation, record) in records {
             let present = !record.is_empty();
             match self.workers.get_mut(&incarnation) {
                 Some(worker) => {
@@ -88,7 +88,7 @@
                     worker.wait.mark_written();
                 }
                 // The worker was removed while its record was being written.
-                None if present => self.untraced.push(incarnation),
+                None if present => self.obsolete_records.push(incarnation),
                 None => {}
             }
         }
--- a/crates/owner/src/workers/renewal.rs
+++ b/crates/owner/src/workers/renewal.rs
@@ -4,7 +4,7 @@
 
 use myrtle_job::{Held, Incarnation, Running, State, Successor, TaskId, Told};
 
-use crate::{Cell, Life, Order, Stage};
+use crate::{Cell, Order, Presence, Stage};
 
 /// The most ends that a worker reports in one reply; set by the platform.
 const MAX_ENDS: usize = 500;
@@ -14,31 +14,39 @@
     ///
     /// A reply of another incarnation only shows that this one has ended: its ends and its clock
     /// are numbered differently.
-    pub fn held(&mut self, incarnation: &Incarnation, held: Held, sent: u64, now: u64, wall: u64) {
+    pub fn renewed(
+        &mut self,
+        incarnation: &Incarnation,
+        held: Held,
+        sent: u64,
+        now: u64,
+        wall: u64,
+    ) {
         if held.start != 0 && held.start != incarnation.start() {
             return self.replaced(incarnation, Successor::Restarted(held.start), now);
         }
-        let silent = self.workers.get(incarnation).map_or(0, |w| now.saturating_sub(w.heard));
+        let silent = self.workers.get(incarnation).map_or(0, |w| now.saturating_sub(w.answered_at));
         self.update_clock(incarnation, held.clock, now);
         let Some(worker) = self.workers.get_mut(incarnation) else {
             return;
         };
-        if worker.life != Life::Well {
+        if worker.presence != Presence::Answering {
             // After a takeover all workers answer for the first time; one line covers them all.
-            let level = if worker.life == Life::Unmet { Level::Debug } else { Level::Info };
+            let level =
+                if worker.presence == Presence::Unreached { Level::Debug } else { Level::Info };
             let running = held.running.len();
             log!(
                 level,
                 "event=worker-met worker={incarnation} running={running} silent_ms={silent}"
             );
-            worker.life = Life::Well;
+            worker.presence = Presence::Answering;
             worker.wait.withdraw();
             self.clear_silence(incarnation);
             self.bar_late_starts(incarnation, now);
         }
         let complete = held.ended.len() < MAX_ENDS;
         for ended in held.ended {
-            self.end(incarnation, ended, now, wall);
+            self.process_end(incarnation, ended, now, wall);
         }
         for running in &held.running {
             self.apply_running(incarnation, running, now);
@@ -47,43 +55,43 @@
             self.remove_missing(incarnation, &held.running, sent, now);
         }
         self.learn(incarnation, now);
-        self.foresee(now);
+        self.forecast_loads(now);
         self.throttle_fillers(incarnation, now);
         self.move_stalled(incarnation, now);
     }
 
     /// Handles a lease renewal without reply.
-    pub fn hold_failed(&mut self, incarnation: &Incarnation, now: u64) {
-        if self.workers.get(incarnation).is_some_and(|w| w.life == Life::Unmet) {
+    pub fn renewal_failed(&mut self, incarnation: &Incarnation, now: u64) {
+        if self.workers.get(incarnation).is_some_and(|w| w.presence == Presence::Unreached) {
             self.log_unmet(incarnation, now);
-            self.note_silence(incarnation, now);
+            self.record_silence(incarnation, now);
         }
         if let Some(worker) = self.workers.get_mut(incarnation)
-            && worker.life == Life::Well
+            && worker.presence == Presence::Answering
         {
-            warn!("event=worker-silent worker={incarnation} runs={}", worker.flights.len());
-            worker.life = Life::Silent;
-            self.note_silence(incarnation, now);
+            warn!("event=worker-silent worker={incarnation} runs={}", worker.active_runs.len());
+            worker.presence = Presence::Silent;
+            self.record_silence(incarnation, now);
         }
     }
 
     /// Logs once that a worker with inherited runs can't be reached, and how long the owner waits
     /// for it.
     fn log_unmet(&self, incarnation: &Incarnation, now: u64) {
-        let worker = self.workers.get(incarnation).filter(|w| !w.flights.is_empty());
+        let worker = self.workers.get(incarnation).filter(|w| !w.active_runs.is_empty());
         let Some(worker) = worker.filter(|_| !self.silent(incarnation)) else {
             return;
         };
         let left = self.leases_end(worker).saturating_sub(now);
         info!(
             "event=worker-unmet worker={incarnation} runs={} listed={} left_ms={left}",
-            worker.flights.len(),
+            worker.active_runs.len(),
             worker.listed
         );
     }
 
     /// Handles a refused lease renewal; true if a successor of this owner is the reason.
-    pub fn hold_refused(&mut self, incarnation: &Incarnation, reply: Told) -> bool {
+    pub fn renewal_refused(&mut self, incarnation: &Incarnation, reply: Told) -> bool {
         warn!("event=hold-refused worker={incarnation} told=\"{reply}\"");
         reply == Told::Fenced
     }
@@ -94,7 +102,7 @@
         let Some(worker) = self.workers.get_mut(incarnation) else {
             return;
         };
-        let known = worker.flights.get_mut(task).filter(|f| f.run == *run);
+        let known = worker.active_runs.get_mut(task).filter(|f| f.run == *run);
         let Some(active) = known else {
             // A start that was withdrawn has been carried out late.
             info!("event=run-unasked task={task} run={run} worker={incarnation}");
@@ -105,7 +113,7 @@
             worker.reported_at = now;
         }
         let Some(job) = self.jobs.get_mut(&task.job) else {
-            return self.halt(incarnation, *task, *run, now);
+            return self.stop_run(incarnation, *task, *run, now);
         };
         if !saved.is_empty()
             && let Some(record) = job.progress.task_mut(*task)
@@ -115,18 +123,18 @@
         }
         if job.progress.state.over() {
             // An earlier owner ended the job and may not have stopped its runs.
-            return self.halt(incarnation, *task, *run, now);
+            return self.stop_run(incarnation, *task, *run, now);
         }
-        self.begun(*task);
+        self.mark_started(*task);
         self.trust(incarnation, *task, now);
     }
 
     /// Marks a task of a job as started.
-    pub(crate) fn begun(&mut self, task: TaskId) {
+    pub(crate) fn mark_started(&mut self, task: TaskId) {
         let Some(job) = self.jobs.get_mut(&task.job) else {
             return;
         };
-        job.freed.remove(&task);
+        job.down_since.remove(&task);
         if job.progress.state == State::Queued {
             job.progress.state = State::Running;
             self.dirty.insert(task.job);
@@ -146,12 +154,12 @@
         };
         let listed = |task: &TaskId, run| running.iter().any(|r| r.task == *task && r.run == run);
         let missing: Vec<_> = worker
-            .flights
+            .active_runs
             .iter()
             .filter(|(_, f)| match f.stage {
                 // Our fencing token prevents it from starting from now on.
                 Stage::Inherited => true,
-                Stage::Up | Stage::Stopped => f.since < sent,
+                Stage::Running | Stage::Stopped => f.since < sent,
                 _ => false,
             })
             .filter(|(task, f)| !listed(task, f.run))
@@ -162,9 +170,9 @@
                 "event=run-absent task={task} run={run} worker={incarnation} stage={stage:?} at={now}"
             );
             if let Some(worker) = self.workers.get_mut(incarnation) {
-                worker.flights.remove(&task);
+                worker.active_runs.remove(&task);
             }
-            self.forget_run(task, run);
+            self.remove_run(task, run);
         }
     }
 }
--- a/crates/owner/src/workers/restarts.rs
+++ b/crates/owner/src/workers/restarts.rs
@@ -15,7 +15,7 @@
 use myrtle_job::{Incarnation, Successor, TaskId};
 
 use crate::workers::crash::Cause;
-use crate::{Cell, Flight, Life, Order, Stage, Worker};
+use crate::{ActiveRun, Cell, Order, Presence, Stage, Worker};
 
 /// The number of earlier starts that are kept for a worker, so that old entries of the list don't
 /// add them again.
@@ -41,14 +41,14 @@
     /// was.
     pub fn replaced(&mut self, incarnation: &Incarnation, by: Successor, now: u64) {
         let Successor::Restarted(start) = by else {
-            return self.succeeded(incarnation, now);
+            return self.mark_replaced(incarnation, now);
         };
         let next = incarnation.started(start);
         // One that is no longer known was asked before its successor was.
         if next == *incarnation || !self.workers.contains_key(incarnation) {
             return;
         }
-        let others = self.of_id(incarnation.id()).map(|(incarnation, _)| incarnation);
+        let others = self.incarnations(incarnation.id()).map(|(incarnation, _)| incarnation);
         let others: Vec<_> = others.filter(|incarnation| **incarnation != next).cloned().collect();
         others
             .iter()
@@ -59,23 +59,24 @@
     }
 
     /// Whether some incarnation of a worker is known.
-    pub fn knows(&self, id: &str) -> bool {
-        self.of_id(id).next().is_some()
+    pub fn has_worker(&self, id: &str) -> bool {
+        self.incarnations(id).next().is_some()
     }
 
     /// The incarnation that a list entry names: without a start, the newest known one.
     pub(crate) fn listed_as(&self, id: &str, start: u64) -> Incarnation {
-        let newest = self.of_id(id).next_back().filter(|_| start == 0);
+        let newest = self.incarnations(id).next_back().filter(|_| start == 0);
         newest.map_or_else(|| Incarnation::new(id, start), |(incarnation, _)| incarnation.clone())
     }
 
     /// Whether an incarnation is known to have ended though an old entry names it.
     pub(crate) fn has_ended(&self, incarnation: &Incarnation) -> bool {
-        self.of_id(incarnation.id()).any(|(_, w)| w.earlier_starts.contains(&incarnation.start()))
+        self.incarnations(incarnation.id())
+            .any(|(_, w)| w.earlier_starts.contains(&incarnation.start()))
     }
 
     /// All known incarnations of a worker, by start.
-    pub(crate) fn of_id(
+    pub(crate) fn incarnations(
         &self,
         id: &str,
     ) -> impl DoubleEndedIterator<Item = (&Incarnation, &Worker)> {
@@ -88,10 +89,10 @@
     /// An incarnation that is known from the log or a reply may be the later one, on a host whose
     /// clock was set back; one that answers will report its own end. Both are asked.
     pub(crate) fn end_earlier(&mut self, next: &Incarnation, written: u64, now: u64) {
-        let earlier = self.of_id(next.id()).filter(|(incarnation, worker)| {
+        let earlier = self.incarnations(next.id()).filter(|(incarnation, worker)| {
             let before =
-                worker.read && worker.listing.as_ref().is_some_and(|l| l.written < written);
-            before && worker.life != Life::Well && incarnation.start() < next.start()
+                worker.entry_read && worker.listing.as_ref().is_some_and(|l| l.written < written);
+            before && worker.presence != Presence::Answering && incarnation.start() < next.start()
         });
         let earlier: Vec<_> = earlier.map(|(incarnation, _)| incarnation.clone()).collect();
         earlier.iter().for_each(|incarnation| self.restarted(incarnation, next, Source::List, now));
@@ -112,7 +113,7 @@
         let (mut before, mut unanswered) = (old.earlier_starts.clone(), old.unanswered.clone());
         before.push(incarnation.start());
         // Its start is unknown, and it has not been asked yet: it may be the one that is there.
-        let unnamed = incarnation.start() == 0 && old.life == Life::Unmet;
+        let unnamed = incarnation.start() == 0 && old.presence == Presence::Unreached;
         if !unnamed {
             self.counts.restarts += 1;
             old.log_restart(incarnation, next, source, now);
@@ -132,11 +133,11 @@
         if unnamed {
             info!("event=worker-named worker={next} runs={inherited}");
         } else {
-            self.lose(incarnation, Cause::Restarted, now);
+            self.remove_runs(incarnation, Cause::Restarted, now);
         }
         self.rebind_turns(incarnation, next);
         if self.workers.remove(incarnation).is_some_and(|w| w.logged) {
-            self.untraced.push(incarnation.clone());
+            self.obsolete_records.push(incarnation.clone());
         }
     }
 
@@ -153,12 +154,12 @@
         let Some(old) = self.workers.get(incarnation) else {
             return 0;
         };
-        let late = old.flights.iter().filter(|(_, active)| active.may_start_late());
-        let late: Vec<(TaskId, Flight)> = late.map(|(t, f)| (*t, f.clone())).collect();
+        let late = old.active_runs.iter().filter(|(_, active)| active.may_start_late());
+        let late: Vec<(TaskId, ActiveRun)> = late.map(|(t, f)| (*t, f.clone())).collect();
         let count = late.len();
         for (task, mut active) in late {
             let Some(next_worker) =
-                self.workers.get_mut(next).filter(|w| !w.flights.contains_key(&task))
+                self.workers.get_mut(next).filter(|w| !w.active_runs.contains_key(&task))
             else {
                 continue;
             };
@@ -168,7 +169,7 @@
                 self.orders.push(Order::Stop { worker, task, run });
             }
             let run = active.run;
-            next_worker.flights.insert(task, active);
+            next_worker.active_runs.insert(task, active);
             let record = self.jobs.get_mut(&task.job).and_then(|j| j.progress.task_mut(task));
             let record = record.and_then(|t| t.live.iter_mut().find(|r| r.number == run));
             if let Some(record) = record {
@@ -189,8 +190,8 @@
             return;
         };
         let late = worker.unanswered.iter().filter(|(.., at)| now < at + LATE_START);
-        let untracked =
-            late.filter(|(task, run, _)| worker.flights.get(task).is_none_or(|f| f.run != *run));
+        let untracked = late
+            .filter(|(task, run, _)| worker.active_runs.get(task).is_none_or(|f| f.run != *run));
         let stops =
             untracked.map(|&(task, run, _)| Order::Stop { worker: incarnation.clone(), task, run });
         self.orders.extend(stops);
@@ -206,10 +207,10 @@
             incarnation.id(),
             incarnation.start(),
             next.start(),
-            self.flights.len(),
-            self.taken,
-            self.noted,
-            now.saturating_sub(self.heard)
+            self.active_runs.len(),
+            self.received_ends,
+            self.logged_ends,
+            now.saturating_sub(self.answered_at)
         );
     }
 
@@ -220,7 +221,7 @@
     }
 }
 
-impl Flight {
+impl ActiveRun {
     /// Whether an order to start it may still be carried out.
     fn may_start_late(&self) -> bool {
         self.unanswered || matches!(self.stage, Stage::Sent | Stage::Inherited)
--- a/crates/owner/src/workers/wait.rs
+++ b/crates/owner/src/workers/wait.rs
@@ -21,7 +21,7 @@
 use myrtle_job::Incarnation;
 use serde::{Deserialize, Serialize};
 
-use crate::{Cell, Life, Worker};
+use crate::{Cell, Presence, Worker};
 
 /// How much longer a wait has to be than recorded before it is written again, in milliseconds:
 /// about the part of the wait that a change of owner costs.
@@ -148,24 +148,24 @@
 
 impl Cell {
     /// Notes the fencing token of an earlier owner that may have given out leases.
-    pub fn note_owner(&mut self, fence: u64) {
+    pub fn add_owner(&mut self, fence: u64) {
         if fence < self.fence {
-            self.earlier.insert(fence);
+            self.earlier_owners.insert(fence);
         }
     }
 
     /// Updates the waits for workers with runs that do not answer.
     pub(crate) fn update_waits(&mut self, now: u64) {
         let longest = self.max_lease();
-        let silent = |incarnation: &Incarnation, w: &Worker| match w.life {
-            Life::Unmet => self.silent(incarnation),
-            Life::Silent => true,
-            Life::Well | Life::Gone => false,
+        let silent = |incarnation: &Incarnation, w: &Worker| match w.presence {
+            Presence::Unreached => self.silent(incarnation),
+            Presence::Silent => true,
+            Presence::Answering | Presence::Gone => false,
         };
         let waiting = self
             .workers
             .iter()
-            .filter(|(incarnation, w)| !w.flights.is_empty() && silent(incarnation, w));
+            .filter(|(incarnation, w)| !w.active_runs.is_empty() && silent(incarnation, w));
         let waited = waiting.map(|(incarnation, worker)| {
             let left = self.leases_end(worker).saturating_sub(now);
             (incarnation.clone(), longest.saturating_sub(left))
@@ -176,8 +176,8 @@
             let Some(worker) = self.workers.get_mut(&incarnation) else {
                 continue;
             };
-            match worker.life {
-                Life::Unmet => worker.wait.extend_unmet(waited, fence),
+            match worker.presence {
+                Presence::Unreached => worker.wait.extend_unmet(waited, fence),
                 _ => worker.wait.extend(waited),
             }
         }
--- a/crates/owner/src/workers/wave.rs
+++ b/crates/owner/src/workers/wave.rs
@@ -5,7 +5,7 @@
 
 use myrtle_job::Incarnation;
 
-use crate::{Cell, Life};
+use crate::{Cell, Presence};
 
 /// The pause before maintenance that was refused or got no reply is ordered again, in milliseconds.
 const RETRY_AFTER: u64 = 400;
@@ -61,7 +61,7 @@
 
 /// The outcome of an order for maintenance.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Upkeep {
+pub enum Maintenance {
     /// The machine goes down, or has been down before.
     Begun,
     /// The machine does not exist or is not part of the wave.
@@ -96,7 +96,7 @@
 
     /// The waves whose records have to be written: number, completed machines, whether all are
     /// completed.
-    pub fn wave_news(&mut self) -> Vec<(u64, BTreeSet<String>, bool)> {
+    pub fn changed_waves(&mut self) -> Vec<(u64, BTreeSet<String>, bool)> {
         let changed = self.waves.iter_mut().filter(|(_, w)| !w.recorded);
         changed
             .map(|(&number, w)| {
@@ -107,7 +107,7 @@
     }
 
     /// Advances all waves; returns the machines to order maintenance for, and their waves.
-    pub fn waves(&mut self, now: u64) -> Vec<(String, u64)> {
+    pub fn advance_waves(&mut self, now: u64) -> Vec<(String, u64)> {
         let numbers: Vec<u64> = self.waves.keys().copied().collect();
         let mut orders = Vec::new();
         for number in numbers {
@@ -121,7 +121,13 @@
     }
 
     /// Handles the outcome of an order for maintenance.
-    pub fn upkeep_told(&mut self, number: u64, machine: &str, outcome: Upkeep, now: u64) {
+    pub fn maintenance_replied(
+        &mut self,
+        number: u64,
+        machine: &str,
+        outcome: Maintenance,
+        now: u64,
+    ) {
         info!("event=upkeep-told wave={number} machine={machine} outcome={outcome:?}");
         let Some(state) = self.waves.get_mut(&number) else {
             return;
@@ -130,15 +136,15 @@
             return;
         };
         match outcome {
-            Upkeep::Begun => {
+            Maintenance::Begun => {
                 state.turns.insert(
                     machine.into(),
                     Turn::Down { incarnation: incarnation.clone(), since: now },
                 );
-                self.succeeded(&incarnation, now);
+                self.mark_replaced(&incarnation, now);
             }
-            Upkeep::Dropped => state.finish(machine),
-            Upkeep::Again => {
+            Maintenance::Dropped => state.finish(machine),
+            Maintenance::Again => {
                 let retry_at = now + RETRY_AFTER;
                 state.turns.insert(machine.into(), Turn::Ordered { incarnation, retry_at });
             }
@@ -234,7 +240,8 @@
     /// The incarnation of an answering worker on a machine.
     fn incarnation_on(&self, machine: &str) -> Option<Incarnation> {
         let on_machine = |l: &myrtle_job::Listing| l.machine.as_deref() == Some(machine);
-        let mut listed = self.workers.iter().filter(|(_, w)| w.listed && w.life == Life::Well);
+        let mut listed =
+            self.workers.iter().filter(|(_, w)| w.listed && w.presence == Presence::Answering);
         listed.find(|(_, w)| w.listing.as_ref().is_some_and(on_machine)).map(|(id, _)| id.clone())
     }
 }
