--- a/crates/owner/src/workers/worker.rs
+++ b/crates/owner/src/workers/worker.rs
@@ -6,17 +6,17 @@
 use myrtle_job::{Listing, TaskId};
 
 use crate::disruption::forecast::LoadForecast;
-use crate::disruption::harm::Usage;
+use crate::disruption::interference::Usage;
 use crate::workers::wait::Wait;
-use crate::{Flight, Flights, Stage};
+use crate::{ActiveRun, ActiveRuns, Stage};
 
 /// Whether an incarnation of a worker answers.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Life {
+pub enum Presence {
     /// It has not answered this owner yet.
-    Unmet,
+    Unreached,
     /// It answered its last lease renewal.
-    Well,
+    Answering,
     /// It does not answer; its runs may go on.
     Silent,
     /// It has certainly ended, or all its leases have.
@@ -43,13 +43,13 @@
     pub listed: bool,
     /// Whether this owner has read its entry in the list; otherwise it is known from the log or
     /// from a reply.
-    pub(crate) read: bool,
+    pub(crate) entry_read: bool,
     /// When it was last removed from the list.
     pub unlisted_at: u64,
     /// Whether it answers.
-    pub life: Life,
+    pub presence: Presence,
     /// When it last answered.
-    pub heard: u64,
+    pub answered_at: u64,
     /// Its clock at its last answer, and the host's steady clock then.
     pub clock: Option<(u64, u64)>,
     /// The end of the last of its leases, on its clock.
@@ -57,15 +57,15 @@
     /// How long no lease has been given to it while it does not answer.
     pub(crate) wait: Wait,
     /// Its active runs.
-    pub flights: Flights,
+    pub active_runs: ActiveRuns,
     /// The number up to which its ends were received.
-    pub taken: u64,
+    pub received_ends: u64,
     /// The number up to which its ends are in the log.
-    pub noted: u64,
+    pub logged_ends: u64,
     /// The end of its backoff after refusals or failures.
     pub backoff_until: u64,
     /// The number of failed runs since the last successful one.
-    pub fails: u32,
+    pub failures: u32,
     /// The number of backoffs in a row.
     pub backoffs: u32,
     /// When one of its reported figures last changed.
@@ -73,7 +73,7 @@
     /// The usage of fillers in the last window, by image.
     pub usage: Usage,
     /// The load forecasts of its serving tasks, by image.
-    pub(crate) outlooks: Vec<LoadForecast>,
+    pub(crate) forecasts: Vec<LoadForecast>,
     /// When its fillers were last throttled.
     pub throttled_at: u64,
     /// Fillers that ended recently.
@@ -83,11 +83,11 @@
     /// Whether it is being drained for maintenance of its machine.
     pub in_maintenance: bool,
     /// Whether its data centre is evacuated.
-    pub emptied: bool,
+    pub evacuated: bool,
     /// Until when it is slow after its own start.
-    pub warm: u64,
+    pub warm_at: u64,
     /// When it leaves, if it announced that.
-    pub leaves: Option<u64>,
+    pub leaves_at: Option<u64>,
     /// Whether it was about to leave when it last answered.
     pub(crate) leaving: bool,
     /// The value of `leaving` in the log.
@@ -104,29 +104,29 @@
         Self {
             listing: None,
             listed: false,
-            read: false,
+            entry_read: false,
             unlisted_at: now,
-            life: Life::Unmet,
-            heard: now,
+            presence: Presence::Unreached,
+            answered_at: now,
             clock: None,
             until: 0,
             wait: Wait::new(now),
-            flights: Flights::default(),
-            taken: 0,
-            noted: 0,
+            active_runs: ActiveRuns::default(),
+            received_ends: 0,
+            logged_ends: 0,
             backoff_until: 0,
-            fails: 0,
+            failures: 0,
             backoffs: 0,
             reported_at: 0,
             usage: Usage::new(),
-            outlooks: Vec::new(),
+            forecasts: Vec::new(),
             throttled_at: 0,
             ended_fillers: Vec::new(),
             logged: false,
             in_maintenance: false,
-            emptied: false,
-            warm: 0,
-            leaves: None,
+            evacuated: false,
+            warm_at: 0,
+            leaves_at: None,
             leaving: false,
             leaving_logged: false,
             earlier_starts: Vec::new(),
@@ -135,9 +135,9 @@
     }
 
     /// Removes a run that has ended, if it is the one there.
-    pub(crate) fn drop_flight(&mut self, task: TaskId, run: u32, now: u64) -> Option<Flight> {
-        self.flights.get(&task).filter(|f| f.run == run)?;
-        let active = self.flights.remove(&task)?;
+    pub(crate) fn remove_run(&mut self, task: TaskId, run: u32, now: u64) -> Option<ActiveRun> {
+        self.active_runs.get(&task).filter(|f| f.run == run)?;
+        let active = self.active_runs.remove(&task)?;
         if let Some(image) = active.image.clone().filter(|_| active.filler) {
             self.ended_fillers.push(EndedFiller { image, used: active.figure, ended_at: now });
         }
@@ -156,7 +156,7 @@
 
     /// The room that its runs claim.
     pub fn used(&self) -> Room {
-        self.flights.sums().claimed
+        self.active_runs.sums().claimed
     }
 
     /// The room that is not claimed.
@@ -170,17 +170,17 @@
     }
 
     /// Whether its leases are to be renewed: it can be given work, or may still run tasks.
-    pub fn wants_hold(&self) -> bool {
-        self.listed || self.listing.is_some() && self.life != Life::Gone
+    pub fn needs_renewal(&self) -> bool {
+        self.listed || self.listing.is_some() && self.presence != Presence::Gone
     }
 
     /// Whether new work may start there.
-    pub fn open(&self, now: u64) -> bool {
-        self.life == Life::Well
+    pub fn accepts_work(&self, now: u64) -> bool {
+        self.presence == Presence::Answering
             && self.listed
             && !self.draining()
             && !self.in_maintenance
-            && !self.emptied
+            && !self.evacuated
             && !self.wait.forbids_leases()
             && self.backoff_until <= now
     }
@@ -191,27 +191,27 @@
     }
 
     /// Whether it runs a long-running task.
-    pub fn lasts(&self) -> bool {
-        self.flights.sums().long_running
+    pub fn has_long_running(&self) -> bool {
+        self.active_runs.sums().long_running
     }
 
     /// Whether it has a label.
-    pub fn labelled(&self, label: &str) -> bool {
+    pub fn has_label(&self, label: &str) -> bool {
         self.listing.as_ref().is_some_and(|l| l.labels.iter().any(|x| x == label))
     }
 
     /// Its running fillers.
-    pub(crate) fn fillers(&self) -> impl Iterator<Item = (&TaskId, &Flight)> {
-        self.flights.iter().filter(|(_, f)| f.filler && f.stage == Stage::Up)
+    pub(crate) fn fillers(&self) -> impl Iterator<Item = (&TaskId, &ActiveRun)> {
+        self.active_runs.iter().filter(|(_, f)| f.filler && f.stage == Stage::Running)
     }
 
     /// The processors that fillers could use, in thousandths of a core.
     pub fn spare(&self) -> f64 {
-        f64::from(self.room().cpu) - self.flights.sums().non_fillers
+        f64::from(self.room().cpu) - self.active_runs.sums().non_fillers
     }
 
     /// The processors that its fillers ask for at their speed limits, in thousandths of a core.
-    pub fn filled(&self) -> f64 {
-        self.flights.sums().fillers
+    pub fn filler_demand(&self) -> f64 {
+        self.active_runs.sums().fillers
     }
 }
--- a/crates/owner/tests/active_runs.rs
+++ b/crates/owner/tests/active_runs.rs
@@ -2,7 +2,7 @@
 
 use myrtle_base::Room;
 use myrtle_job::{JobId, StepSpec, TaskId};
-use myrtle_owner::{Flight, Stage, Worker};
+use myrtle_owner::{ActiveRun, Stage, Worker};
 
 fn task(index: u16) -> TaskId {
     TaskId { job: JobId(1), round: 0, step: 0, index }
@@ -30,32 +30,32 @@
 
 case!(a_run_that_begins_or_ends_counts_at_once, worker, {
     assert_eq!(worker.used().cpu, 0);
-    worker.flights.insert(task(0), Flight::new(1, &step(false), Stage::Up, 0));
+    worker.active_runs.insert(task(0), ActiveRun::new(1, &step(false), Stage::Running, 0));
     assert_eq!((worker.used().cpu, worker.used().mem), (2_000, 100));
-    worker.flights.insert(task(1), Flight::new(1, &step(true), Stage::Up, 0));
+    worker.active_runs.insert(task(1), ActiveRun::new(1, &step(true), Stage::Running, 0));
     assert_eq!((worker.used().cpu, worker.used().mem), (2_000, 200), "fillers take no processors");
-    worker.flights.remove(&task(0));
+    worker.active_runs.remove(&task(0));
     assert_eq!((worker.used().cpu, worker.used().mem), (0, 100));
-    drop(std::mem::take(&mut worker.flights));
+    drop(std::mem::take(&mut worker.active_runs));
     assert_eq!(worker.used(), Room::default());
 });
 
 case!(a_changed_speed_limit_counts_at_once, worker, {
-    worker.flights.insert(task(0), Flight::new(1, &step(true), Stage::Up, 0));
-    assert_eq!(worker.filled(), 2_000.0);
-    worker.flights.get_mut(&task(0)).unwrap().pace = 50;
-    assert_eq!(worker.filled(), 1_000.0);
-    for (_, run) in &mut worker.flights {
-        run.pace = 10;
+    worker.active_runs.insert(task(0), ActiveRun::new(1, &step(true), Stage::Running, 0));
+    assert_eq!(worker.filler_demand(), 2_000.0);
+    worker.active_runs.get_mut(&task(0)).unwrap().speed_limit = 50;
+    assert_eq!(worker.filler_demand(), 1_000.0);
+    for (_, run) in &mut worker.active_runs {
+        run.speed_limit = 10;
     }
-    assert_eq!(worker.filled(), 200.0);
+    assert_eq!(worker.filler_demand(), 200.0);
 });
 
 case!(a_long_running_run_is_reported_while_active, worker, {
-    assert!(!worker.lasts());
+    assert!(!worker.has_long_running());
     let long_running = StepSpec { lasting: true, ..step(false) };
-    worker.flights.insert(task(0), Flight::new(1, &long_running, Stage::Up, 0));
-    assert!(worker.lasts());
-    worker.flights.clear();
-    assert!(!worker.lasts());
+    worker.active_runs.insert(task(0), ActiveRun::new(1, &long_running, Stage::Running, 0));
+    assert!(worker.has_long_running());
+    worker.active_runs.clear();
+    assert!(!worker.has_long_running());
 });
--- a/crates/owner/tests/balance.rs
+++ b/crates/owner/tests/balance.rs
@@ -4,7 +4,7 @@
 use myrtle_job::{
     Incarnation, JobId, JobSpec, Key, Listing, Load, Policy, Progress, StepSpec, Submission, decode,
 };
-use myrtle_owner::{Bounds, Cell, Order};
+use myrtle_owner::{Cell, Order, TimeLimits};
 
 /// The number of the other cell.
 const OTHER: u32 = 1;
@@ -24,7 +24,7 @@
 }
 
 fn owner(fence: u64) -> Cell {
-    let mut cell = Cell::new(Bounds::default(), fence, 0);
+    let mut cell = Cell::new(TimeLimits::default(), fence, 0);
     for n in 0..4u16 {
         let listing = Listing {
             service: "s".into(),
@@ -39,19 +39,19 @@
             cold: 0,
             start: 0,
         };
-        cell.list(&format!("w{n}"), listing, 0);
+        cell.apply_listing(&format!("w{n}"), listing, 0);
         let held = myrtle_job::Held { start: 0, clock: 5, running: vec![], ended: vec![] };
-        cell.held(&Incarnation::new(format!("w{n}"), 0), held, 0, 1, 1);
+        cell.renewed(&Incarnation::new(format!("w{n}"), 0), held, 0, 1, 1);
     }
     cell.loaded = true;
-    cell.alone = false;
+    cell.only_cell = false;
     cell
 }
 
 /// Submits a job to its home cell.
 fn submit(cell: &mut Cell, id: JobId, long_running: bool, now: u64) {
     cell.admit(id, submission(long_running), now, 0);
-    cell.settle(id, cell.number);
+    cell.set_home(id, cell.number);
 }
 
 fn submission(long_running: bool) -> Submission {
@@ -91,7 +91,7 @@
 }
 
 case!(a_long_running_job_is_transferred_to_a_cell_with_more_room, cell, {
-    cell.hear(OTHER, roomy(), 10);
+    cell.record_load(OTHER, roomy(), 10);
     submit(&mut cell, JOB, true, 10);
     cell.plan(10);
     assert_eq!(cell.deliveries(), vec![], "not before its home cell has written the transfer");
@@ -101,7 +101,7 @@
     let deliveries = cell.deliveries();
     assert_eq!(deliveries.len(), 1);
     assert_eq!(decode::<Submission>(&deliveries[0].record).unwrap(), submission(true));
-    assert_eq!(cell.moved(JOB), Some(OTHER));
+    assert_eq!(cell.transferred_to(JOB), Some(OTHER));
     assert!(cell.pending().is_empty(), "the other cell counts it");
     cell.delivered(Key::Job(JOB));
     assert!(write(&mut cell).0.unwrap().moved.unwrap().delivered);
@@ -109,60 +109,60 @@
 });
 
 case!(the_successor_delivers_a_transfer_that_may_not_have_arrived, cell, {
-    cell.hear(OTHER, roomy(), 10);
+    cell.record_load(OTHER, roomy(), 10);
     submit(&mut cell, JOB, true, 10);
     let progress = write(&mut cell).0.unwrap();
     let mut next = owner(2);
     submit(&mut next, JOB, true, 20);
-    next.inherit(JOB, progress, 20);
+    next.restore_progress(JOB, progress, 20);
     assert_eq!(write(&mut next).1, vec![], "only the other cell starts it");
     assert_eq!(next.deliveries().len(), 1);
     next.delivered(Key::Job(JOB));
     let progress = write(&mut next).0.unwrap();
     let mut last = owner(3);
     submit(&mut last, JOB, true, 30);
-    last.inherit(JOB, progress, 30);
+    last.restore_progress(JOB, progress, 30);
     assert_eq!(last.deliveries(), vec![]);
     assert_eq!(write(&mut last).1, vec![]);
 });
 
 case!(a_job_that_has_begun_stays, cell, {
-    cell.hear(OTHER, load(32_000.0), 10);
+    cell.record_load(OTHER, load(32_000.0), 10);
     submit(&mut cell, JOB, true, 10);
     assert_eq!(write(&mut cell).1.len(), 4);
-    cell.hear(OTHER, roomy(), 10);
+    cell.record_load(OTHER, roomy(), 10);
     cell.plan(20);
-    assert_eq!(cell.moved(JOB), None);
+    assert_eq!(cell.transferred_to(JOB), None);
 });
 
 case!(a_short_job_stays, cell, {
-    cell.hear(OTHER, roomy(), 10);
+    cell.record_load(OTHER, roomy(), 10);
     submit(&mut cell, JOB, false, 10);
     assert_eq!(write(&mut cell).1.len(), 4);
-    assert_eq!(cell.moved(JOB), None);
+    assert_eq!(cell.transferred_to(JOB), None);
 });
 
 case!(nothing_is_transferred_to_a_cell_that_is_as_full, cell, {
-    cell.hear(OTHER, load(32_000.0), 10);
+    cell.record_load(OTHER, load(32_000.0), 10);
     submit(&mut cell, JOB, true, 10);
-    assert_eq!(cell.moved(JOB), None);
+    assert_eq!(cell.transferred_to(JOB), None);
     assert_eq!(write(&mut cell).1.len(), 4);
 });
 
 case!(loads_that_are_old_or_without_workers_are_ignored, cell, {
-    cell.hear(OTHER, roomy(), 10);
-    cell.hear(2, Load::default(), 9_000);
+    cell.record_load(OTHER, roomy(), 10);
+    cell.record_load(2, Load::default(), 9_000);
     submit(&mut cell, JOB, true, 9_000);
     assert_eq!(write_at(&mut cell, 9_000).1.len(), 4);
-    assert_eq!(cell.moved(JOB), None);
+    assert_eq!(cell.transferred_to(JOB), None);
 });
 
 case!(a_new_owner_waits_for_the_loads_of_other_cells, cell, {
     submit(&mut cell, JOB, true, 10);
     assert_eq!(write_at(&mut cell, 500).1, vec![]);
-    cell.hear(OTHER, roomy(), 600);
+    cell.record_load(OTHER, roomy(), 600);
     write_at(&mut cell, 610);
-    assert_eq!(cell.moved(JOB), Some(OTHER));
+    assert_eq!(cell.transferred_to(JOB), Some(OTHER));
 });
 
 case!(a_new_owner_that_receives_no_load_keeps_the_job, cell, {
@@ -172,30 +172,30 @@
 });
 
 case!(a_job_that_was_transferred_is_not_transferred_again, cell, {
-    cell.hear(OTHER, roomy(), 10);
+    cell.record_load(OTHER, roomy(), 10);
     cell.admit(JOB, submission(true), 10, 0);
     assert_eq!(write(&mut cell).1.len(), 4);
-    assert_eq!(cell.moved(JOB), None);
+    assert_eq!(cell.transferred_to(JOB), None);
 });
 
 case!(jobs_submitted_at_once_are_spread_over_cells, cell, {
-    cell.hear(1, load(0.0), 10);
-    cell.hear(2, load(0.0), 10);
+    cell.record_load(1, load(0.0), 10);
+    cell.record_load(2, load(0.0), 10);
     (0..9).for_each(|n| submit(&mut cell, JobId(100 + n), true, 10));
     cell.plan(10);
-    let to = |number| (0..9).filter(|n| cell.moved(JobId(100 + n)) == number).count();
+    let to = |number| (0..9).filter(|n| cell.transferred_to(JobId(100 + n)) == number).count();
     assert_eq!((to(None), to(Some(1)), to(Some(2))), (3, 3, 3));
 });
 
 case!(a_transferred_job_that_is_over_is_forgotten, cell, {
-    cell.hear(OTHER, roomy(), 10);
+    cell.record_load(OTHER, roomy(), 10);
     submit(&mut cell, JOB, true, 10);
     write(&mut cell);
     cell.delivered(Key::Job(JOB));
-    let later = 3 * Bounds::default().status;
-    assert_eq!(cell.perhaps_forgotten(100), vec![]);
-    assert_eq!(cell.perhaps_forgotten(later), vec![(JOB, OTHER)]);
-    cell.forget_moved(JOB);
+    let later = 3 * TimeLimits::default().status_ttl;
+    assert_eq!(cell.maybe_removed(100), vec![]);
+    assert_eq!(cell.maybe_removed(later), vec![(JOB, OTHER)]);
+    cell.remove_transferred(JOB);
     assert!(cell.batch().records.contains(&(JOB, vec![])));
 });
 
--- a/crates/owner/tests/cancelled.rs
+++ b/crates/owner/tests/cancelled.rs
@@ -36,7 +36,7 @@
             self.world.run(STEP);
             let now = self.world.now;
             for (&id, job) in &self.world.owner().cell.jobs {
-                if job.shown == State::Cancelled {
+                if job.logged_state == State::Cancelled {
                     self.shown.entry(id).or_insert(now);
                 }
             }
--- a/crates/owner/tests/cells/act.rs
+++ b/crates/owner/tests/cells/act.rs
@@ -17,7 +17,7 @@
             if let Some(&back) = self.crashed.get(&id) {
                 match now >= back {
                     true => self.owners[cell].replaced(&id, Successor::Other, now),
-                    false => self.owners[cell].hold_failed(&id, now),
+                    false => self.owners[cell].renewal_failed(&id, now),
                 }
                 continue;
             }
@@ -31,11 +31,11 @@
             let incarnation = self.incarnation(&id);
             let worker = self.workers.entry(id).or_default();
             let id = incarnation;
-            let seen = self.owners[cell].hold_args(&id, now).map_or(0, |args| args.seen);
+            let seen = self.owners[cell].renewal_args(&id, now).map_or(0, |args| args.logged_ends);
             worker.ended.retain(|end| end.number > seen);
-            let runs = self.owners[cell].workers.get(&id).map(|w| &w.flights);
+            let runs = self.owners[cell].workers.get(&id).map(|w| &w.active_runs);
             let long_running =
-                |task: &TaskId| runs.and_then(|r| r.get(task)).is_none_or(|r| r.lasting);
+                |task: &TaskId| runs.and_then(|r| r.get(task)).is_none_or(|r| r.long_running);
             let shown = if self.lively { (now / STEP % 100) as f64 } else { 100.0 };
             let percent = |task: &TaskId| if long_running(task) { 100.0 } else { shown };
             let running = worker.runs.iter().map(|(&task, (run, saved))| Running {
@@ -47,7 +47,7 @@
             });
             let held =
                 Held { start, clock: now, running: running.collect(), ended: worker.ended.clone() };
-            self.owners[cell].held(&id, held, now, now, now);
+            self.owners[cell].renewed(&id, held, now, now, now);
         }
     }
 
@@ -80,26 +80,26 @@
         let first = first_of(order.worker());
         let start = self.incarnation(&first).start();
         let outcome = match order.worker().start() == start {
-            true => Outcome::Told(Told::Done),
+            true => Outcome::Replied(Told::Done),
             false => Outcome::Replaced(Successor::Restarted(start)),
         };
         let worker = self.workers.entry(first).or_default();
         if matches!(outcome, Outcome::Replaced(_)) {
             match &order {
                 Order::Start { worker: incarnation, task, run, .. } => {
-                    self.owners[cell].start_told(incarnation, *task, *run, outcome, now);
+                    self.owners[cell].start_replied(incarnation, *task, *run, outcome, now);
                 }
                 Order::Stop { worker: incarnation, task, run } => {
-                    self.owners[cell].stop_told(incarnation, *task, *run, outcome, now);
+                    self.owners[cell].stop_replied(incarnation, *task, *run, outcome, now);
                 }
-                Order::Pace { .. } => {}
+                Order::Throttle { .. } => {}
             }
             return;
         }
         match &order {
             Order::Start { worker: incarnation, task, run, .. } => {
                 worker.runs.insert(*task, (*run, format!("saved-{}", task.index)));
-                self.owners[cell].start_told(incarnation, *task, *run, outcome, now);
+                self.owners[cell].start_replied(incarnation, *task, *run, outcome, now);
             }
             Order::Stop { worker: incarnation, task, run } => {
                 if let Some((run, saved)) = worker.runs.remove(task) {
@@ -107,9 +107,9 @@
                     let (number, how) = (worker.count, How::Stopped);
                     worker.ended.push(Ended { number, task: *task, run, how, saved });
                 }
-                self.owners[cell].stop_told(incarnation, *task, *run, outcome, now);
+                self.owners[cell].stop_replied(incarnation, *task, *run, outcome, now);
             }
-            Order::Pace { .. } => {}
+            Order::Throttle { .. } => {}
         }
         self.orders[cell].push(order);
     }
@@ -161,10 +161,10 @@
         match key {
             Key::Job(id) => {
                 owner.admit(id, decode(record).unwrap(), now, now);
-                owner.settle(id, self.home);
+                owner.set_home(id, self.home);
             }
-            Key::Part(id) => owner.take_part(id, decode(record).unwrap(), now, now),
-            Key::Recall(id) => owner.take_back(id.job, now, now),
+            Key::Part(id) => owner.receive_transfer(id, decode(record).unwrap(), now, now),
+            Key::Recall(id) => owner.cancel_transferred(id.job, now, now),
         }
     }
 }
--- a/crates/owner/tests/cells/fixtures.rs
+++ b/crates/owner/tests/cells/fixtures.rs
@@ -4,7 +4,7 @@
 use myrtle_job::{
     Held, Incarnation, JobId, JobSpec, Listing, Policy, StepSpec, Submission, TaskId,
 };
-use myrtle_owner::{Bounds, Cell, Order};
+use myrtle_owner::{Cell, Order, TimeLimits};
 
 use super::WORKERS;
 
@@ -43,14 +43,18 @@
 
 /// An owner of a cell of four workers, which is one of several cells.
 pub fn owner(number: u32, fence: u64, now: u64) -> Cell {
-    let mut cell = Cell::new(Bounds::default(), fence, now);
+    let mut cell = Cell::new(TimeLimits::default(), fence, now);
     cell.number = number;
-    cell.alone = false;
+    cell.only_cell = false;
     cell.loaded = true;
     for worker in 0..WORKERS {
-        cell.list(name(number as usize, worker).id(), listing(number as usize, worker, false), now);
+        cell.apply_listing(
+            name(number as usize, worker).id(),
+            listing(number as usize, worker, false),
+            now,
+        );
         let held = Held { start: 0, clock: now, running: vec![], ended: vec![] };
-        cell.held(&name(number as usize, worker), held, now, now, now);
+        cell.renewed(&name(number as usize, worker), held, now, now, now);
     }
     cell
 }
--- a/crates/owner/tests/cells/mod.rs
+++ b/crates/owner/tests/cells/mod.rs
@@ -127,7 +127,7 @@
     pub fn leave(&mut self, cell: usize, worker: u16) {
         let now = self.now;
         let entry = self.entry(cell, worker, true);
-        self.owners[cell].list(name(cell, worker).id(), entry, now);
+        self.owners[cell].apply_listing(name(cell, worker).id(), entry, now);
         self.leaving.push(name(cell, worker));
     }
 
@@ -143,7 +143,7 @@
     pub fn read_entry(&mut self, cell: usize, worker: u16) {
         let leaves = self.leaving.contains(&name(cell, worker));
         let (now, entry) = (self.now, self.entry(cell, worker, leaves));
-        self.owners[cell].list(name(cell, worker).id(), entry, now);
+        self.owners[cell].apply_listing(name(cell, worker).id(), entry, now);
     }
 
     /// The current incarnation of a worker.
@@ -224,7 +224,7 @@
     pub fn stay(&mut self, cell: usize, worker: u16) {
         let now = self.now;
         let entry = self.entry(cell, worker, false);
-        self.owners[cell].list(name(cell, worker).id(), entry, now);
+        self.owners[cell].apply_listing(name(cell, worker).id(), entry, now);
         self.leaving.retain(|id| *id != name(cell, worker));
     }
 
@@ -238,7 +238,7 @@
         records.iter().for_each(|(key, value)| self.admit(cell, *key, value));
         for (id, bytes) in self.progress[cell].clone() {
             let progress = Progress::read(&bytes).unwrap();
-            self.owners[cell].inherit(id, progress, self.now);
+            self.owners[cell].restore_progress(id, progress, self.now);
         }
         let parts = records.iter().filter(|(key, _)| !matches!(key, Key::Job(_)));
         parts.for_each(|(key, value)| self.admit(cell, *key, value));
@@ -247,7 +247,7 @@
             let (now, leaves) = (self.now, self.leaving.contains(&name(cell, worker)));
             if leaves || self.started.contains_key(&name(cell, worker)) {
                 let entry = self.entry(cell, worker, leaves);
-                self.owners[cell].list(name(cell, worker).id(), entry, now);
+                self.owners[cell].apply_listing(name(cell, worker).id(), entry, now);
             }
         }
         let inherited = self.owners[cell].deliveries();
@@ -260,7 +260,7 @@
         let loads: Vec<_> = self.owners.iter().map(|c| c.load(now)).collect();
         for (at, cell) in self.owners.iter_mut().enumerate() {
             for (other, load) in loads.iter().enumerate().filter(|(other, _)| *other != at) {
-                cell.hear(other as u32, load.clone(), now);
+                cell.record_load(other as u32, load.clone(), now);
             }
         }
     }
@@ -293,8 +293,8 @@
         self.arrive();
         for cell in 0..self.owners.len() {
             self.renew(cell);
-            self.owners[cell].lapse(now);
-            self.owners[cell].evacuate(now);
+            self.owners[cell].expire(now);
+            self.owners[cell].drain_leaving(now);
             self.owners[cell].give_up(now, now);
             self.owners[cell].plan(now);
             self.write(cell);
--- a/crates/owner/tests/common/act.rs
+++ b/crates/owner/tests/common/act.rs
@@ -29,28 +29,28 @@
                 let old = self.stale.get(id).filter(|(until, _)| now < *until);
                 let listing = old.map_or(&worker.listing, |(_, listing)| listing);
                 let start = if self.untold { 0 } else { listing.start };
-                self.owners[at].cell.list(id, Listing { start, ..listing.clone() }, now);
+                self.owners[at].cell.apply_listing(id, Listing { start, ..listing.clone() }, now);
             } else {
-                self.owners[at].cell.unlist(id, now);
+                self.owners[at].cell.remove_listing(id, now);
             }
         }
         if (now / STEP).is_multiple_of(RENEW_EVERY) {
             self.renew_all(at);
             let cell = &mut self.owners[at].cell;
-            cell.lapse(now);
-            cell.evacuate(now);
-            cell.guard_all(now);
-            cell.look_for_copies(now);
+            cell.expire(now);
+            cell.drain_leaving(now);
+            cell.throttle_all(now);
+            cell.find_late_runs(now);
             cell.give_up(now, now);
             cell.begin_rounds(now);
-            let again = cell.repeat(now);
+            let again = cell.resend(now);
             self.send_all(at, again);
         }
         self.owners[at].cell.plan(now);
-        for question in self.owners[at].cell.questions() {
+        for question in self.owners[at].cell.take_questions() {
             let permitted = question.workers.iter().filter(|w| self.permitted.contains(&&**w.id()));
             let permitted = permitted.map(|w| (w.clone(), "t".to_string())).collect();
-            self.owners[at].cell.answered(&question, Some(permitted), now, now);
+            self.owners[at].cell.record_answer(&question, Some(permitted), now, now);
         }
         let orders = self.owners[at].cell.orders();
         self.send_all(at, orders);
@@ -78,7 +78,7 @@
         for (id, bytes) in &batch.records {
             self.progress.insert(*id, bytes.clone());
         }
-        for (incarnation, record) in &batch.traces {
+        for (incarnation, record) in &batch.worker_records {
             if record.is_empty() {
                 self.traces.remove(incarnation);
             } else {
@@ -101,11 +101,11 @@
         let renews = self.renews(at);
         let known = self.owners[at].cell.workers.iter().filter(|(_, w)| w.listing.is_some());
         for incarnation in known.map(|(incarnation, _)| incarnation.clone()).collect::<Vec<_>>() {
-            let Some(args) = self.owners[at].cell.hold_args(&incarnation, now) else {
+            let Some(args) = self.owners[at].cell.renewal_args(&incarnation, now) else {
                 continue;
             };
             if !self.reaches(at, &incarnation) {
-                self.owners[at].cell.hold_failed(&incarnation, now);
+                self.owners[at].cell.renewal_failed(&incarnation, now);
                 continue;
             }
             if let Some(by) = self.successor(&incarnation) {
@@ -116,8 +116,8 @@
             let Some(worker) = self.workers.get_mut(incarnation.id()) else {
                 continue;
             };
-            match worker.hold(args.fence, args.seen, until, now, &mut self.judge) {
-                Ok(held) => self.owners[at].cell.held(&incarnation, held, now - 1, now, now),
+            match worker.hold(args.fence, args.logged_ends, until, now, &mut self.judge) {
+                Ok(held) => self.owners[at].cell.renewed(&incarnation, held, now - 1, now, now),
                 Err(_) => self.owners[at].deposed = true,
             }
         }
@@ -165,7 +165,7 @@
         self.queued = rest;
         for (_, at, order) in due {
             let owner = &mut self.owners[at];
-            if !owner.deposed && owner.cell.stands(&order, now) {
+            if !owner.deposed && owner.cell.still_wanted(&order, now) {
                 self.send(at, order);
             }
         }
@@ -217,9 +217,9 @@
                 worker.start(*task, *run, &spec, (fence, until), now, &mut self.judge)
             }
             Order::Stop { task, run, .. } => worker.stop(*task, *run, fence, &mut self.judge),
-            Order::Pace { task, run, percent, .. } => worker.pace(*task, *run, *percent, fence),
+            Order::Throttle { task, run, percent, .. } => worker.pace(*task, *run, *percent, fence),
         };
-        Outcome::Told(reply)
+        Outcome::Replied(reply)
     }
 
     /// Reports the outcome of an order to its owner.
@@ -228,14 +228,16 @@
         let cell = &mut self.owners[at].cell;
         let fenced = match order {
             Order::Start { worker, task, run, .. } => {
-                cell.start_told(worker, *task, *run, outcome, now)
+                cell.start_replied(worker, *task, *run, outcome, now)
             }
-            Order::Stop { worker, task, run } => cell.stop_told(worker, *task, *run, outcome, now),
-            Order::Pace { worker, task, run, percent } => {
-                if outcome != Outcome::Told(Told::Done) {
-                    cell.pace_unsure(worker, *task, *run, *percent);
+            Order::Stop { worker, task, run } => {
+                cell.stop_replied(worker, *task, *run, outcome, now)
+            }
+            Order::Throttle { worker, task, run, percent } => {
+                if outcome != Outcome::Replied(Told::Done) {
+                    cell.limit_unconfirmed(worker, *task, *run, *percent);
                 }
-                outcome == Outcome::Told(Told::Fenced)
+                outcome == Outcome::Replied(Told::Fenced)
             }
         };
         self.owners[at].deposed |= fenced;
--- a/crates/owner/tests/common/mod.rs
+++ b/crates/owner/tests/common/mod.rs
@@ -20,7 +20,7 @@
 use myrtle_job::{
     Incarnation, JobId, JobSpec, Listing, Policy, Progress, Submission, TaskId, decode, encode,
 };
-use myrtle_owner::{Batch, Bounds, Cell, Order};
+use myrtle_owner::{Batch, Cell, Order, TimeLimits};
 
 use crash::Back;
 
@@ -221,16 +221,16 @@
     /// Starts an owner from the log.
     fn read_log(&mut self, began: u64, meanwhile: impl FnOnce(&mut Cell, u64)) -> usize {
         self.fence += 1;
-        let mut cell = Cell::new(Bounds::default(), self.fence, began);
-        cell.empty_centres(&self.evacuated);
+        let mut cell = Cell::new(TimeLimits::default(), self.fence, began);
+        cell.evacuate_centres(&self.evacuated);
         self.began.insert(self.fence, began);
         if self.seen {
-            cell.ended = self.began.clone();
-            self.claimed.iter().for_each(|&fence| cell.note_owner(fence));
+            cell.ended_owners = self.began.clone();
+            self.claimed.iter().for_each(|&fence| cell.add_owner(fence));
         }
         self.claimed.insert(self.fence);
         for (incarnation, record) in &self.traces {
-            cell.recall_worker(incarnation, record, self.now).unwrap();
+            cell.restore_worker(incarnation, record, self.now).unwrap();
         }
         for (&id, submission) in &self.jobs {
             cell.admit(id, submission.clone(), self.now, self.now);
@@ -238,11 +238,11 @@
         meanwhile(&mut cell, self.now);
         for (&id, bytes) in &self.progress {
             let progress: Progress = decode(bytes).unwrap();
-            cell.inherit(id, progress, self.now);
+            cell.restore_progress(id, progress, self.now);
         }
         let (now, wall) = (self.now, self.now);
-        if let Some(lessons) = self.owners.last().and_then(|o| o.cell.lessons(now, wall)) {
-            cell.recall(&lessons, now, wall).unwrap();
+        if let Some(lessons) = self.owners.last().and_then(|o| o.cell.learned_model(now, wall)) {
+            cell.restore_model(&lessons, now, wall).unwrap();
         }
         cell.loaded = true;
         if let Some(last) = self.owners.last_mut() {
@@ -264,7 +264,7 @@
     pub fn pass_on(&mut self, from: usize) {
         let ends = self.owners[from].cell.unlogged().to_vec();
         let now = self.now;
-        ends.iter().for_each(|end| self.owner().cell.hear_end(end, now, now));
+        ends.iter().for_each(|end| self.owner().cell.restore_end(end, now, now));
     }
 
     /// The newest owner.
@@ -322,7 +322,7 @@
             false => drop(self.evacuated.remove(centre)),
         }
         for owner in &mut self.owners {
-            owner.cell.empty_centres(&self.evacuated);
+            owner.cell.evacuate_centres(&self.evacuated);
         }
     }
 
@@ -350,7 +350,7 @@
         while self.now < end {
             self.step();
             let cell = &self.owners.last().unwrap().cell;
-            if cell.jobs.values().all(|j| j.shown.over()) {
+            if cell.jobs.values().all(|j| j.logged_state.over()) {
                 return true;
             }
         }
--- a/crates/owner/tests/evacuated.rs
+++ b/crates/owner/tests/evacuated.rs
@@ -62,7 +62,7 @@
     world.run(8_000);
     assert_eq!(world.owner().cell.state(id), Some(State::Queued));
     let lines = world.owner().cell.explain(id, 0).join("\n");
-    assert!(lines.contains("every data centre of the cell is being emptied: x y z"), "{lines}");
+    assert!(lines.contains("every data centre of the cell is being evacuated: x y z"), "{lines}");
     CENTRES.iter().for_each(|centre| world.empty(centre, false));
     assert!(world.finish(3_000));
 });
@@ -157,7 +157,7 @@
     for id in jobs {
         let job = &cell.jobs[&id];
         let lost = job.progress.crashes.values().map(|c| c.seen).max().unwrap_or(0);
-        match job.shown {
+        match job.logged_state {
             State::Completed => {}
             // The platform gives a task up after two crashed workers at the earliest.
             State::Failed => assert!(lost >= 2, "seed {seed}: {id} failed without cause"),
--- a/crates/owner/tests/interference.rs
+++ b/crates/owner/tests/interference.rs
@@ -10,7 +10,7 @@
 
 use myrtle_base::Room;
 use myrtle_job::{JobId, StepSpec, TaskId};
-use myrtle_owner::{Harm, Swings, pressure};
+use myrtle_owner::{InterferenceModel, LoadCycles, pressure};
 
 use common::{World, job, step};
 
@@ -23,9 +23,9 @@
 }
 
 /// Trains an interference model on two serving steps beside three filler images that come and go.
-fn train(seed: u64, windows: usize) -> Harm {
+fn train(seed: u64, windows: usize) -> InterferenceModel {
     let mut rng = ChaCha8Rng::seed_from_u64(seed);
-    let (mut model, mut cycles) = (Harm::default(), Swings::default());
+    let (mut model, mut cycles) = (InterferenceModel::default(), LoadCycles::default());
     let truth: BTreeMap<(&str, &str), f64> =
         [(("s1", "f1"), 1.5), (("s2", "f2"), 1.2), (("s1", "f3"), 0.1), (("s2", "f3"), 0.1)].into();
     let names: Vec<Arc<str>> = ["f1", "f2", "f3"].map(Arc::from).to_vec();
@@ -46,9 +46,9 @@
             let noise = rng.random_range(0.9..1.1);
             let shown = pressure(tail(load + interference) * noise / f64::from(TARGET));
             let at = window * 500;
-            let (own, beside) = (cycles.guess(task, at), model.pressed(&image, &uses));
+            let (own, beside) = (cycles.predict(task, at), model.expected_pressure(&image, &uses));
             model.learn(&image, shown - own.mean, own.variance + 0.002, &uses);
-            cycles.see(task, at, shown - beside.mean, beside.variance + 0.002);
+            cycles.observe(task, at, shown - beside.mean, beside.variance + 0.002);
         }
     }
     model
@@ -59,7 +59,8 @@
     for seed in 0..8 {
         let model = train(seed, 400);
         for (image, bad, good) in [("s1", "f1", "f2"), ("s2", "f2", "f1")] {
-            let (bad, good) = (model.rise(image, bad, 0.1), model.rise(image, good, 0.1));
+            let (bad, good) =
+                (model.added_pressure(image, bad, 0.1), model.added_pressure(image, good, 0.1));
             assert!(bad > 0.06, "seed {seed}: {image} {bad}");
             assert!(good < 0.035, "seed {seed}: {image} {good}");
         }
@@ -69,16 +70,16 @@
 #[test]
 fn uncertainty_counts_against_a_filler_until_it_is_known() {
     let known = train(1, 400);
-    let unknown = Harm::default();
+    let unknown = InterferenceModel::default();
     assert!(unknown.risk("s1", "f2", 0.1) > known.risk("s1", "f2", 0.1));
-    assert!(unknown.risk("s1", "f2", 0.1) > unknown.rise("s1", "f2", 0.1));
+    assert!(unknown.risk("s1", "f2", 0.1) > unknown.added_pressure("s1", "f2", 0.1));
 }
 
 #[test]
 fn images_that_different_fillers_slow_are_unlike() {
     let model = train(2, 400);
-    assert_eq!(model.unlike("s1", "s1"), 0.0);
-    assert!(model.unlike("s1", "s2") > 0.5);
+    assert_eq!(model.dissimilarity("s1", "s1"), 0.0);
+    assert!(model.dissimilarity("s1", "s2") > 0.5);
 }
 
 fn serving(image: &str, count: u16) -> StepSpec {
@@ -121,7 +122,7 @@
     }
     let cell = &world.owner().cell;
     let mixed = cell.workers.values().filter(|w| {
-        let mut images: Vec<_> = w.flights.values().filter_map(|f| f.image.clone()).collect();
+        let mut images: Vec<_> = w.active_runs.values().filter_map(|f| f.image.clone()).collect();
         images.sort();
         images.dedup();
         images.len() > 1
--- a/crates/owner/tests/missed_long.rs
+++ b/crates/owner/tests/missed_long.rs
@@ -43,7 +43,7 @@
 /// Runs until the home cell's owner has given up the four runs of a crashed worker.
 fn run_until_lost(cells: &mut Cells) {
     let began = cells.now;
-    while cells.owner(HOME).gist().waiting == 0 && starts(&cells.orders[OTHER]).is_empty() {
+    while cells.owner(HOME).summary().waiting == 0 && starts(&cells.orders[OTHER]).is_empty() {
         assert!(cells.now < began + LEASE_LIMIT, "the runs are never given up");
         cells.run(100);
     }
@@ -91,7 +91,7 @@
     cells.deaf = true;
     let now = cells.now;
     let load = owner(THIRD, 1, now).load(now);
-    cells.owner(HOME).hear(THIRD, load.clone(), now);
+    cells.owner(HOME).record_load(THIRD, load.clone(), now);
     cells.run(100);
     cells.give_part(HOME, INCOMING, 1);
     cells.run(1_000);
@@ -99,7 +99,7 @@
     assert_eq!(outgoing(&mut cells), 0, "transferred by an old load report");
     cells.lossy = true;
     let now = cells.now;
-    cells.owner(HOME).hear(THIRD, load, now);
+    cells.owner(HOME).record_load(THIRD, load, now);
     cells.run(100);
     assert_eq!(outgoing(&mut cells), 1, "the third cell has reported room");
 }
--- a/crates/owner/tests/mutated.rs
+++ b/crates/owner/tests/mutated.rs
@@ -10,7 +10,7 @@
 use myrtle_job::{
     Held, Incarnation, JobId, Part, PartId, Progress, StepSpec, Submission, decode, encode,
 };
-use myrtle_owner::{Bounds, Cell};
+use myrtle_owner::{Cell, TimeLimits};
 
 /// Mutations: positions and the bytes to store there.
 type Mutations = Vec<(usize, u8)>;
@@ -49,26 +49,26 @@
 /// Lets a new owner with two workers recover a job from these records beside an intact one, and act for a while;
 /// returns the number of runs of the intact job.
 fn recover(progress: Option<Progress>, part: Option<Part>) -> usize {
-    let mut cell = Cell::new(Bounds::default(), 2, 1_000);
+    let mut cell = Cell::new(TimeLimits::default(), 2, 1_000);
     let (mutated, intact) = (JobId(1), JobId(2));
     cell.admit(mutated, submission(), 1_000, 1_000);
     cell.admit(intact, submission(), 1_000, 1_000);
     if let Some(progress) = progress {
-        cell.inherit(mutated, progress, 1_000);
+        cell.restore_progress(mutated, progress, 1_000);
     }
     if let Some(part) = part {
-        cell.take_part(PartId { job: JobId(3), from: 1, number: 0 }, part, 1_000, 1_000);
+        cell.receive_transfer(PartId { job: JobId(3), from: 1, number: 0 }, part, 1_000, 1_000);
     }
     cell.loaded = true;
     let workers = ["a", "b"].map(|id| Incarnation::new(id, 0));
     for now in (1_100..9_000).step_by(100) {
         for (n, incarnation) in workers.iter().enumerate() {
-            cell.list(incarnation.id(), listing(n as u16), now);
+            cell.apply_listing(incarnation.id(), listing(n as u16), now);
             let held = Held { clock: now, ..Held::default() };
-            cell.held(incarnation, held, now, now, now);
+            cell.renewed(incarnation, held, now, now, now);
         }
-        cell.lapse(now);
-        cell.evacuate(now);
+        cell.expire(now);
+        cell.drain_leaving(now);
         cell.give_up(now, now);
         cell.begin_rounds(now);
         while cell.plan(now) {}
@@ -111,7 +111,7 @@
         let Ok(submission) = decode::<Submission>(&bytes) else {
             return Ok(());
         };
-        let mut cell = Cell::new(Bounds::default(), 2, 1_000);
+        let mut cell = Cell::new(TimeLimits::default(), 2, 1_000);
         cell.admit(JobId(1), submission, 1_000, 1_000);
         cell.loaded = true;
         while cell.plan(1_100) {}
--- a/crates/owner/tests/pace.rs
+++ b/crates/owner/tests/pace.rs
@@ -91,7 +91,10 @@
     let at = colocated.world.now + 500;
     let forecast = |colocated: &mut Colocated| {
         let cell = &colocated.world.owner().cell;
-        (cell.swings.guess(task, at).mean, cell.harm.rise("serving", "filler", 1.0))
+        (
+            cell.load_cycles.predict(task, at).mean,
+            cell.interference.added_pressure("serving", "filler", 1.0),
+        )
     };
     let before = forecast(&mut colocated);
     colocated.world.owner().awake = false;
@@ -121,13 +124,14 @@
     let mut colocated = Colocated::new(1.5, 3);
     colocated.run(10_000);
     let (now, serving) = (colocated.world.now, colocated.serving);
-    let model = colocated.world.owner().cell.lessons(now, now).unwrap();
+    let model = colocated.world.owner().cell.learned_model(now, now).unwrap();
     let task = TaskId { job: serving, round: 0, step: 0, index: 0 };
-    let variance =
-        |colocated: &mut Colocated| colocated.world.owner().cell.swings.guess(task, now).variance;
+    let variance = |colocated: &mut Colocated| {
+        colocated.world.owner().cell.load_cycles.predict(task, now).variance
+    };
     let before = variance(&mut colocated);
     colocated.world.cancel(serving);
-    colocated.world.owner().cell.recall(&model, now, now).unwrap();
+    colocated.world.owner().cell.restore_model(&model, now, now).unwrap();
     assert!(variance(&mut colocated) > 10.0 * before);
 }
 
@@ -136,10 +140,10 @@
     let mut colocated = Colocated::new(1.5, 3);
     colocated.run(5_000);
     let cell = &mut colocated.world.owner().cell;
-    let model = cell.lessons(0, 0);
+    let model = cell.learned_model(0, 0);
     assert!(model.is_some());
-    assert!(cell.recall(b"no lessons", 0, 0).is_err());
-    assert_eq!(cell.lessons(0, 0), model);
+    assert!(cell.restore_model(b"no lessons", 0, 0).is_err());
+    assert_eq!(cell.learned_model(0, 0), model);
 }
 
 #[test]
--- a/crates/owner/tests/parts.rs
+++ b/crates/owner/tests/parts.rs
@@ -39,7 +39,7 @@
 case!(tasks_of_a_leaving_worker_are_transferred_to_a_cell_with_room, cells, 2, {
     cells.leave(HOME, 0);
     cells.run(TRANSFER_LIMIT);
-    assert_eq!(cells.owner(HOME).gist().waiting, 0, "tasks wait although another cell has room");
+    assert_eq!(cells.owner(HOME).summary().waiting, 0, "tasks wait although another cell has room");
     let started = starts(&cells.orders[OTHER]);
     assert_eq!(started.len(), 4, "the other cell starts them");
     assert!(
@@ -56,10 +56,10 @@
     let full = Load { claimed: 0.0, size: 512_000.0, free: vec![], again: vec![], soon: vec![] };
     for _ in 0..TRANSFER_LIMIT / 100 {
         let now = cells.now;
-        cells.owner(HOME).hear(OTHER as u32, full.clone(), now);
+        cells.owner(HOME).record_load(OTHER as u32, full.clone(), now);
         cells.run(100);
     }
-    assert_eq!(cells.owner(HOME).gist().waiting, 4);
+    assert_eq!(cells.owner(HOME).summary().waiting, 4);
 });
 
 case!(an_outgoing_transfer_is_logged_before_its_delivery, cells, 2, {
@@ -90,7 +90,7 @@
     cells.take_over(HOME);
     cells.run(TRANSFER_LIMIT);
     assert_eq!(starts(&cells.orders[OTHER]).len(), 4);
-    assert_eq!(cells.owner(HOME).gist().waiting, 0);
+    assert_eq!(cells.owner(HOME).summary().waiting, 0);
     cells.take_over(HOME);
     cells.run(TRANSFER_LIMIT);
     assert_eq!(starts(&cells.orders[OTHER]).len(), 4, "a second delivery starts nothing");
@@ -101,7 +101,7 @@
     cells.run(TRANSFER_LIMIT);
     cells.take_over(OTHER);
     cells.run(TRANSFER_LIMIT);
-    let runs: usize = cells.owner(OTHER).workers.values().map(|w| w.flights.len()).sum();
+    let runs: usize = cells.owner(OTHER).workers.values().map(|w| w.active_runs.len()).sum();
     assert_eq!(runs, 4);
     assert_eq!(starts(&cells.orders[OTHER]).len(), 4, "inherited runs are not started again");
 });
@@ -135,7 +135,7 @@
     let transfer: Part = decode(&cells.records(OTHER)[0].1).unwrap();
     let cell = cells.owner(OTHER);
     let before = cell.jobs[&JOB].progress.clone();
-    cell.take_part(FIRST, transfer, 9_000, 9_000);
+    cell.receive_transfer(FIRST, transfer, 9_000, 9_000);
     assert_eq!(cell.jobs[&JOB].progress, before);
     assert!(cell.batch().is_empty());
 });
@@ -145,8 +145,8 @@
     cells.run(TRANSFER_LIMIT);
     let transfer: Part = decode(&cells.records(OTHER)[0].1).unwrap();
     let mut late = owner(OTHER as u32, 9, 0);
-    late.take_back(JOB, 10, 10);
-    late.take_part(FIRST, transfer, 20, 20);
+    late.cancel_transferred(JOB, 10, 10);
+    late.receive_transfer(FIRST, transfer, 20, 20);
     late.plan(30);
     let batch = late.batch();
     assert_eq!(late.committed(batch, 30), vec![]);
@@ -167,7 +167,7 @@
     cells.stay(HOME, 0);
     (0..4).for_each(|worker| cells.leave(THIRD, worker));
     cells.run(2 * TRANSFER_LIMIT);
-    assert_eq!(cells.owner(THIRD).gist().waiting, 0, "the tasks are back in their home cell");
+    assert_eq!(cells.owner(THIRD).summary().waiting, 0, "the tasks are back in their home cell");
     assert_eq!(cells.living(), 16);
     let now = cells.now;
     assert!(cells.owner(HOME).cancel(JOB, now, now));
@@ -184,11 +184,11 @@
     cells.owner(HOME).cancel(JOB, now, now);
     cells.run(200);
     cells.confirm_stops(OTHER);
-    let later = cells.now + 3 * myrtle_owner::Bounds::default().status;
+    let later = cells.now + 3 * myrtle_owner::TimeLimits::default().status_ttl;
     let cell = cells.owner(OTHER);
-    cell.forget(later, later);
+    cell.remove_expired(later, later);
     let batch = cell.batch();
-    assert_eq!(batch.drops, vec![Key::Part(FIRST), Key::Recall(FIRST)]);
+    assert_eq!(batch.removals, vec![Key::Part(FIRST), Key::Recall(FIRST)]);
     assert_eq!(batch.records, vec![(JOB, vec![])]);
 });
 
@@ -196,7 +196,7 @@
 fn draining_workers_add_no_room_to_the_load() {
     let mut cell = owner(0, 1, 0);
     assert_eq!((cell.load(10).size, cell.load(10).free.len()), (128_000.0, 4));
-    cell.list("w0-0", listing(0, 0, true), 10);
+    cell.apply_listing("w0-0", listing(0, 0, true), 10);
     assert_eq!((cell.load(10).size, cell.load(10).free.len()), (96_000.0, 3));
 }
 
--- a/crates/owner/tests/placing.rs
+++ b/crates/owner/tests/placing.rs
@@ -38,7 +38,7 @@
     spec.room.cpu = 16_000;
     world.submit(job(vec![spec]));
     world.run(300);
-    let used = world.owner().cell.workers.values().filter(|w| !w.flights.is_empty());
+    let used = world.owner().cell.workers.values().filter(|w| !w.active_runs.is_empty());
     let racks: std::collections::BTreeSet<_> = used.filter_map(|w| w.rack()).collect();
     assert_eq!(racks.len(), 1, "{racks:?}");
 }
@@ -79,7 +79,7 @@
     }
     assert!(world.finish(10_000));
     let cell = &world.owner().cell;
-    assert!(cell.jobs.values().all(|j| j.shown == State::Completed));
+    assert!(cell.jobs.values().all(|j| j.logged_state == State::Completed));
     assert!(cell.counts.failed <= 6, "{} runs failed", cell.counts.failed);
 });
 
--- a/crates/owner/tests/promises.rs
+++ b/crates/owner/tests/promises.rs
@@ -75,7 +75,7 @@
 
 case!(a_job_cancelled_before_it_is_known_never_runs, world, {
     let now = world.now;
-    world.owner().cell.bar(JobId(1), now, now);
+    world.owner().cell.cancel_early(JobId(1), now, now);
     let id = world.submit(job(vec![step(1)]));
     world.judge.cancelled(id);
     world.run(1_000);
@@ -86,14 +86,14 @@
     let id = world.submit_as(job(vec![step(1)]), myrtle_job::Policy { attempts: 2, ..policy() });
     world.run(200);
     let busy = world.workers.iter().find(|(_, w)| w.count() > 0).unwrap().0.clone();
-    let life = world.life(&busy);
+    let incarnation = world.life(&busy);
     let (now, first) = (world.now, ended(900_000, task(id, 0, 0), 1, How::Failed));
     let held = myrtle_job::Held { start: 0, clock: now, running: vec![], ended: vec![first] };
     let cell = &mut world.owner().cell;
-    cell.held(&life, held.clone(), now - 1, now, now);
+    cell.renewed(&incarnation, held.clone(), now - 1, now, now);
     // The next owner inherits the record and hears of the same end.
-    cell.workers.get_mut(&life).unwrap().taken = 0;
-    cell.held(&life, held, now - 1, now, now);
+    cell.workers.get_mut(&incarnation).unwrap().received_ends = 0;
+    cell.renewed(&incarnation, held, now - 1, now, now);
     assert_ne!(cell.jobs[&id].progress.state, State::Failed);
 });
 
@@ -125,9 +125,9 @@
     let now = world.now;
     let cell = &mut world.owner().cell;
     let live = cell.jobs[&id].progress.task(task(id, 0, 0)).unwrap().live[0].clone();
-    let old = Outcome::Told(Told::Old);
-    cell.start_told(&live.worker, task(id, 0, 0), live.number, Outcome::Unknown, now);
-    cell.start_told(&live.worker, task(id, 0, 0), live.number, old, now + 100);
+    let old = Outcome::Replied(Told::Old);
+    cell.start_replied(&live.worker, task(id, 0, 0), live.number, Outcome::Unknown, now);
+    cell.start_replied(&live.worker, task(id, 0, 0), live.number, old, now + 100);
     assert_eq!(cell.jobs[&id].progress.task(task(id, 0, 0)).unwrap().live, vec![live]);
 });
 
@@ -138,13 +138,13 @@
     world.run(50);
     let world_now = world.now;
     let cell = &mut world.owner().cell;
-    let (life, run) = {
+    let (incarnation, run) = {
         let task = cell.jobs[&id].progress.task(task(id, 0, 0)).unwrap();
         (task.live[0].worker.clone(), task.live[0].number)
     };
-    let full = Outcome::Told(Told::Full);
-    cell.start_told(&life, task(id, 0, 0), run, Outcome::Unknown, world_now);
-    cell.start_told(&life, task(id, 0, 0), run, full, world_now + 100);
+    let full = Outcome::Replied(Told::Full);
+    cell.start_replied(&incarnation, task(id, 0, 0), run, Outcome::Unknown, world_now);
+    cell.start_replied(&incarnation, task(id, 0, 0), run, full, world_now + 100);
     let stops = cell.orders();
     assert!(stops.iter().any(|o| matches!(o, Order::Stop { .. })), "{stops:?}");
     assert!(!cell.jobs[&id].progress.task(task(id, 0, 0)).unwrap().live.is_empty());
@@ -188,7 +188,7 @@
         worker.listed = true;
     }
     world.run(300);
-    let wells = world.owner().cell.workers.values().filter(|w| w.open(16_000)).count();
+    let wells = world.owner().cell.workers.values().filter(|w| w.accepts_work(16_000)).count();
     assert_eq!(wells, 4);
     world.submit(job(vec![step(4)]));
     assert!(world.finish(3_000));
@@ -282,5 +282,5 @@
     assert!(world.finish(60_000), "some job never ended");
     assert_eq!(world.judge.broken, Vec::<String>::new());
     let cell = &world.owner().cell;
-    assert!(cell.jobs.values().all(|j| j.shown == State::Completed));
+    assert!(cell.jobs.values().all(|j| j.logged_state == State::Completed));
 }
--- a/crates/owner/tests/reach.rs
+++ b/crates/owner/tests/reach.rs
@@ -3,7 +3,7 @@
 mod common;
 
 use myrtle_job::{JobId, State, StepSpec, Successor};
-use myrtle_owner::Life;
+use myrtle_owner::Presence;
 
 use common::{case, job, step};
 
@@ -12,7 +12,7 @@
 // as the progress of a cancelled job.
 case!(an_early_cancellation_holds_at_the_next_owner, world, {
     let now = world.now;
-    world.owner().cell.bar(JobId(1), now, now);
+    world.owner().cell.cancel_early(JobId(1), now, now);
     world.run(50);
     world.owner().awake = false;
     world.take_over();
@@ -24,13 +24,13 @@
 
 case!(the_early_cancellation_of_a_job_that_never_comes_is_dropped_from_the_log, world, {
     let now = world.now;
-    world.owner().cell.bar(JobId(1), now, now);
-    assert!(!world.owner().cell.bar_logged(JobId(1)));
+    world.owner().cell.cancel_early(JobId(1), now, now);
+    assert!(!world.owner().cell.cancel_logged(JobId(1)));
     assert_eq!(world.owner().cell.batch().records.len(), 1);
-    let retention = 2 * world.owner().cell.bounds.status;
-    world.owner().cell.forget(now + retention, now + retention);
+    let retention = 2 * world.owner().cell.limits.status_ttl;
+    world.owner().cell.remove_expired(now + retention, now + retention);
     assert_eq!(world.owner().cell.batch().records, vec![(JobId(1), vec![])]);
-    assert!(world.owner().cell.bar_logged(JobId(1)));
+    assert!(world.owner().cell.cancel_logged(JobId(1)));
 });
 
 // Like a test of the front, with the log's records of workers: the entry that lapses late is that of the incarnation
@@ -74,18 +74,21 @@
     let mut listing = world.workers["w0"].listing.clone();
     listing.written += 1;
     let cell = &mut world.owner().cell;
-    let runs = cell.workers[&first].flights.len();
-    cell.list("x0", listing, now);
-    assert_eq!(cell.workers[&first].life, Life::Well, "it replies");
-    cell.hold_failed(&first, now);
+    let runs = cell.workers[&first].active_runs.len();
+    cell.apply_listing("x0", listing, now);
+    assert_eq!(cell.workers[&first].presence, Presence::Answering, "it replies");
+    cell.renewal_failed(&first, now);
     assert_eq!(
-        cell.workers[&first].life,
-        Life::Silent,
+        cell.workers[&first].presence,
+        Presence::Silent,
         "an entry of another worker doesn't end it"
     );
-    assert!(runs > 0 && cell.workers[&first].flights.len() == runs, "its runs may still be active");
-    assert!(cell.hold_args(&first, now).is_some(), "it is asked again");
+    assert!(
+        runs > 0 && cell.workers[&first].active_runs.len() == runs,
+        "its runs may still be active"
+    );
+    assert!(cell.renewal_args(&first, now).is_some(), "it is asked again");
     cell.replaced(&first, Successor::Other, now);
-    assert_eq!(cell.workers[&first].life, Life::Gone);
-    assert_eq!(cell.workers[&first].flights.len(), 0);
+    assert_eq!(cell.workers[&first].presence, Presence::Gone);
+    assert_eq!(cell.workers[&first].active_runs.len(), 0);
 });
--- a/crates/owner/tests/reserve.rs
+++ b/crates/owner/tests/reserve.rs
@@ -43,7 +43,7 @@
 /// The number of active runs of a job.
 fn running(world: &World, job: JobId) -> usize {
     let owner = &world.owners.last().unwrap().cell;
-    owner.workers.values().flat_map(|w| w.flights.keys()).filter(|t| t.job == job).count()
+    owner.workers.values().flat_map(|w| w.active_runs.keys()).filter(|t| t.job == job).count()
 }
 
 case!(tasks_that_never_ran_leave_a_reserve_for_short_jobs, world, {
--- a/crates/owner/tests/restart_courses.rs
+++ b/crates/owner/tests/restart_courses.rs
@@ -12,7 +12,7 @@
 
 use common::{Faults, World, job, policy, step};
 use myrtle_job::{JobId, Policy, State, StepSpec};
-use myrtle_owner::Limbo;
+use myrtle_owner::UncertainRuns;
 
 /// The time in which things go wrong, in milliseconds.
 const TROUBLE: u64 = 25_000;
@@ -188,8 +188,8 @@
         .extend(world.judge.overlong.iter().map(|(w, ms)| format!("{w} had to hold for {ms} ms")));
     let now = world.now;
     let cell = &world.owner().cell;
-    if cell.limbo(now) != Limbo::default() {
-        broken.push(format!("at the end {}", cell.limbo(now)));
+    if cell.uncertain(now) != UncertainRuns::default() {
+        broken.push(format!("at the end {}", cell.uncertain(now)));
     }
     for id in jobs {
         let Some(job) = cell.jobs.get(id) else {
--- a/crates/owner/tests/restarts.rs
+++ b/crates/owner/tests/restarts.rs
@@ -23,7 +23,7 @@
 use common::jobs::ended;
 use common::{Faults, World, job, step};
 use myrtle_job::{Held, How, JobId, State, StepSpec, TaskId};
-use myrtle_owner::Limbo;
+use myrtle_owner::UncertainRuns;
 
 /// How long workers are away, in milliseconds.
 const AWAY: u64 = 600;
@@ -154,17 +154,17 @@
     world.run(200);
     let task = TaskId { job: id, round: 0, step: 0, index: 0 };
     let busy = world.workers.iter().find(|(_, w)| w.runs(task)).unwrap().0.clone();
-    let (now, life) = (world.now, world.life(&busy));
-    let number = world.owner().cell.workers[&life].taken + 1;
-    let start = life.start() + 1_000;
+    let (now, incarnation) = (world.now, world.life(&busy));
+    let number = world.owner().cell.workers[&incarnation].received_ends + 1;
+    let start = incarnation.start() + 1_000;
     let ended = vec![ended(number, task, 1, How::Failed)];
     let held = Held { start, clock: 5, running: vec![], ended };
     let cell = &mut world.owner().cell;
-    cell.held(&life, held, now - 1, now, now);
+    cell.renewed(&incarnation, held, now - 1, now, now);
     assert!(cell.jobs[&id].progress.task(task).unwrap().failed.is_empty());
-    assert!(!cell.workers.contains_key(&life), "it is over");
+    assert!(!cell.workers.contains_key(&incarnation), "it is over");
     assert!(
-        cell.workers[&life.started(start)].clock.is_none(),
+        cell.workers[&incarnation.started(start)].clock.is_none(),
         "the next one is still to be asked"
     );
 });
@@ -174,7 +174,8 @@
     assert!(!before.is_empty());
     restart_all(&mut world);
     busy(&mut world, 2_000);
-    let left: Vec<_> = before.iter().filter(|life| world.traces.contains_key(life)).collect();
+    let left: Vec<_> =
+        before.iter().filter(|incarnation| world.traces.contains_key(incarnation)).collect();
     assert!(left.is_empty(), "{left:?}");
 });
 
@@ -217,5 +218,5 @@
     }
     world.run(15_000);
     let now = world.now;
-    assert_eq!(world.owner().cell.limbo(now), Limbo::default());
+    assert_eq!(world.owner().cell.uncertain(now), UncertainRuns::default());
 }
--- a/crates/owner/tests/slices.rs
+++ b/crates/owner/tests/slices.rs
@@ -9,7 +9,7 @@
 
 use myrtle_base::Room;
 use myrtle_job::{Held, Incarnation, JobId, Policy, StepSpec, Submission};
-use myrtle_owner::{Bounds, Cell, Life};
+use myrtle_owner::{Cell, Presence, TimeLimits};
 
 use common::{job, listing, policy, step};
 
@@ -27,13 +27,13 @@
 
 /// A cell of workers with 32 cores each.
 fn cell() -> Cell {
-    let mut cell = Cell::new(Bounds::default(), 1, 1_000);
+    let mut cell = Cell::new(TimeLimits::default(), 1, 1_000);
     cell.loaded = true;
     for n in 0..WORKERS {
         let incarnation = Incarnation::new(format!("w{n}"), 0);
-        cell.list(incarnation.id(), listing(n), 1_000);
+        cell.apply_listing(incarnation.id(), listing(n), 1_000);
         let held = Held { start: 0, clock: 1_000, running: vec![], ended: vec![] };
-        cell.held(&incarnation, held, 1_000, 1_000, 1_000);
+        cell.renewed(&incarnation, held, 1_000, 1_000, 1_000);
     }
     cell
 }
@@ -47,7 +47,7 @@
 }
 
 fn placed(cell: &Cell) -> usize {
-    cell.workers.values().map(|w| w.flights.len()).sum()
+    cell.workers.values().map(|w| w.active_runs.len()).sum()
 }
 
 #[test]
@@ -146,9 +146,9 @@
     cell.committed(batch, 1_100);
     // A data centre with 100 of the workers becomes unreachable.
     for worker in cell.workers.values_mut().take(100) {
-        worker.life = Life::Silent;
-        worker.heard = 1_000;
+        worker.presence = Presence::Silent;
+        worker.answered_at = 1_000;
     }
-    cell.look_for_copies(2_000);
+    cell.find_late_runs(2_000);
     assert_pass_ends(&mut cell, 2_000);
 }
--- a/crates/owner/tests/starved.rs
+++ b/crates/owner/tests/starved.rs
@@ -52,7 +52,7 @@
 
 fn running(world: &World, job: JobId) -> usize {
     let owner = &world.owners.last().unwrap().cell;
-    owner.workers.values().flat_map(|w| w.flights.keys()).filter(|t| t.job == job).count()
+    owner.workers.values().flat_map(|w| w.active_runs.keys()).filter(|t| t.job == job).count()
 }
 
 #[test]
--- a/crates/owner/tests/stopped_late.rs
+++ b/crates/owner/tests/stopped_late.rs
@@ -12,7 +12,7 @@
 
 use common::{STEP, World, job, step};
 use myrtle_job::{JobId, State, StepSpec};
-use myrtle_owner::Bounds;
+use myrtle_owner::TimeLimits;
 
 /// The time between two heartbeats of a worker, in milliseconds.
 const HEARTBEAT: u64 = 1_500;
@@ -25,7 +25,7 @@
 
 /// The longest time from a cancellation to the end of the last run, in milliseconds.
 fn stop_limit() -> u64 {
-    Bounds::default().stop + HEARTBEAT
+    TimeLimits::default().max_stop + HEARTBEAT
 }
 
 fn long_running(count: u16) -> StepSpec {
@@ -53,7 +53,7 @@
             self.world.run(STEP);
             let now = self.world.now;
             for (&id, job) in &self.world.owner().cell.jobs {
-                if job.shown == State::Cancelled {
+                if job.logged_state == State::Cancelled {
                     self.cancelled_at.entry(id).or_insert(now);
                 }
             }
--- a/crates/owner/tests/swing.rs
+++ b/crates/owner/tests/swing.rs
@@ -6,7 +6,7 @@
 use rand_chacha::ChaCha8Rng;
 
 use myrtle_job::{JobId, TaskId};
-use myrtle_owner::Swings;
+use myrtle_owner::LoadCycles;
 
 /// The time between two reports, in milliseconds.
 const REPORT_INTERVAL: u64 = 800;
@@ -24,24 +24,24 @@
 }
 
 /// The load cycles learned from reports of five steps over a time in milliseconds.
-fn learn(seed: u64, millis: u64, truth: impl Fn(u64, u64) -> f64) -> Swings {
+fn learn(seed: u64, millis: u64, truth: impl Fn(u64, u64) -> f64) -> LoadCycles {
     let mut rng = ChaCha8Rng::seed_from_u64(seed);
-    let mut cycles = Swings::default();
+    let mut cycles = LoadCycles::default();
     for at in (0..millis).step_by(REPORT_INTERVAL as usize) {
         for job in 1..=5 {
             let reported = truth(job, at) + rng.random_range(-0.06..0.06);
-            cycles.see(task(job), at, reported, VARIANCE);
+            cycles.observe(task(job), at, reported, VARIANCE);
         }
     }
     cycles
 }
 
 /// The largest forecast error over the next two seconds.
-fn max_error(cycles: &Swings, from: u64, truth: impl Fn(u64, u64) -> f64) -> f64 {
+fn max_error(cycles: &LoadCycles, from: u64, truth: impl Fn(u64, u64) -> f64) -> f64 {
     let times = (0..=2_000).step_by(250).map(|ahead| from + ahead);
     let errors = times.flat_map(|at| {
         let truth = &truth;
-        (1..=5).map(move |job| (cycles.guess(task(job), at).mean - truth(job, at)).abs())
+        (1..=5).map(move |job| (cycles.predict(task(job), at).mean - truth(job, at)).abs())
     });
     errors.fold(0.0, f64::max)
 }
@@ -70,17 +70,17 @@
     let truth = |job, at| load(job, 10.0, 0.24, at);
     let cycles = learn(1, 20_000, truth);
     let mut spiked = cycles.clone();
-    spiked.see(task(1), 20_000, 0.95, VARIANCE);
-    let (before, after) = (cycles.guess(task(1), 21_000), spiked.guess(task(1), 21_000));
+    spiked.observe(task(1), 20_000, 0.95, VARIANCE);
+    let (before, after) = (cycles.predict(task(1), 21_000), spiked.predict(task(1), 21_000));
     assert!((before.mean - after.mean).abs() < 0.08, "{before:?} {after:?}");
 }
 
 #[test]
 fn the_forecast_of_an_unseen_step_has_a_high_variance() {
     let cycles = learn(1, 20_000, |job, at| load(job, 10.0, 0.24, at));
-    let (known, unknown) = (cycles.guess(task(1), 20_000), cycles.guess(task(9), 20_000));
+    let (known, unknown) = (cycles.predict(task(1), 20_000), cycles.predict(task(9), 20_000));
     assert!(unknown.variance > 10.0 * known.variance);
     let mut forgotten = cycles;
     forgotten.forget(JobId(1));
-    assert_eq!(forgotten.guess(task(1), 20_000).variance, unknown.variance);
+    assert_eq!(forgotten.predict(task(1), 20_000).variance, unknown.variance);
 }
--- a/crates/owner/tests/takeover_courses.rs
+++ b/crates/owner/tests/takeover_courses.rs
@@ -11,7 +11,7 @@
 
 use common::{World, job, step};
 use myrtle_job::{JobId, State, StepSpec};
-use myrtle_owner::Limbo;
+use myrtle_owner::UncertainRuns;
 
 /// The number of crashes of workers in a sequence.
 const CRASHES: u32 = 5;
@@ -86,8 +86,8 @@
     let mut violations = std::mem::take(&mut world.judge.broken);
     let now = world.now;
     let cell = &world.owner().cell;
-    if cell.limbo(now) != Limbo::default() {
-        violations.push(format!("at the end {}", cell.limbo(now)));
+    if cell.uncertain(now) != UncertainRuns::default() {
+        violations.push(format!("at the end {}", cell.uncertain(now)));
     }
     for id in jobs {
         // A job whose tasks lost too many workers may fail, though its tasks are sound.
--- a/crates/owner/tests/tickets_and_waves.rs
+++ b/crates/owner/tests/tickets_and_waves.rs
@@ -5,7 +5,7 @@
 use std::collections::BTreeSet;
 
 use myrtle_job::{Advice, StepSpec};
-use myrtle_owner::{Upkeep, Wave};
+use myrtle_owner::{Maintenance, Wave};
 
 use common::{World, job, policy, step};
 
@@ -54,7 +54,7 @@
     while world.now < end {
         world.run(200);
         let now = world.now;
-        for (machine, wave) in world.owner().cell.waves(now) {
+        for (machine, wave) in world.owner().cell.advance_waves(now) {
             let at = |w: &common::FakeWorker| w.listing.machine.as_ref() == Some(&machine);
             let id = world.workers.iter().find(|(_, w)| !w.gone && at(w)).unwrap().0.clone();
             assert_eq!(world.workers[&id].count(), 0, "{machine} has to be empty first");
@@ -63,7 +63,7 @@
             world.judge = judge;
             down.push((now + 2_000, machine.clone()));
             assert!(down.len() <= limit, "{down:?}");
-            world.owner().cell.upkeep_told(wave, &machine, Upkeep::Begun, now);
+            world.owner().cell.maintenance_replied(wave, &machine, Maintenance::Begun, now);
             seen.insert(machine);
         }
         let back: Vec<_> = down.extract_if(.., |(at, _)| *at <= now).collect();
@@ -88,7 +88,7 @@
     let now = world.now;
     world.owner().cell.add_wave(wave, BTreeSet::new(), now);
     assert_eq!(maintain(&mut world, 30_000, 1), machines.into_iter().collect());
-    let news = world.owner().cell.wave_news();
+    let news = world.owner().cell.changed_waves();
     assert!(
         news.iter()
             .any(|(number, done, complete)| (*number, done.len(), *complete) == (1, 4, true))
@@ -129,7 +129,7 @@
     let wave = Wave { number: 1, machines: vec!["m0".into()], duration: 60_000, limit: 1 };
     let now = world.now;
     world.owner().cell.add_wave(wave, BTreeSet::new(), now);
-    assert!(world.owner().cell.waves(now).is_empty(), "the machine has to be empty first");
+    assert!(world.owner().cell.advance_waves(now).is_empty(), "the machine has to be empty first");
     let id = world.workers.keys().next().unwrap().clone();
     world.restart(&id, 300);
     world.run(400);
--- a/crates/owner/tests/transfers.rs
+++ b/crates/owner/tests/transfers.rs
@@ -67,7 +67,7 @@
     for worker in 0..4 {
         let now = cells.now;
         let listing = Listing { remaining: Some(4_000), ..listing(OTHER, worker, true) };
-        cells.owner(OTHER).list(&format!("w{OTHER}-{worker}"), listing, now);
+        cells.owner(OTHER).apply_listing(&format!("w{OTHER}-{worker}"), listing, now);
     }
     cells.run(2_000);
     assert_eq!(stops(&cells.orders[OTHER]).len(), 0, "too early");
@@ -112,7 +112,7 @@
     for worker in 0..4 {
         let now = cells.now;
         let listing = Listing { service: "x".into(), ..listing(OTHER, worker, false) };
-        cells.owner(OTHER).list(&format!("w{OTHER}-{worker}"), listing, now);
+        cells.owner(OTHER).apply_listing(&format!("w{OTHER}-{worker}"), listing, now);
     }
     cells.leave(HOME, 0);
     cells.run(TRANSFERRED_WITHIN);
@@ -173,8 +173,8 @@
     cells.run(600);
     cells.leave_with(HOME, JobId(8));
     cells.run(2_200);
-    assert_eq!(cells.owner(HOME).gist().waiting, 0, "both are transferred");
-    let waiting = cells.owner(OTHER).gist().waiting;
+    assert_eq!(cells.owner(HOME).summary().waiting, 0, "both are transferred");
+    let waiting = cells.owner(OTHER).summary().waiting;
     assert!(waiting <= 1, "{waiting} tasks wait in the other cell for the room of one");
 }
 
@@ -188,16 +188,16 @@
     for n in 0..Load::WORKERS as u16 {
         let held = Held { start: 0, clock: now, running: vec![], ended: vec![] };
         let id = Incarnation::new(format!("x{n}"), listing(OTHER, n, false).start);
-        owner.list(id.id(), listing(OTHER, 10 + n, false), now);
-        owner.held(&id, held, now, now, now);
+        owner.apply_listing(id.id(), listing(OTHER, 10 + n, false), now);
+        owner.renewed(&id, held, now, now, now);
     }
     let mut with = listing(OTHER, 99, false);
     with.room.cpu = 16_000;
     with.room.accel = 8;
     let held = Held { start: 0, clock: now, running: vec![], ended: vec![] };
     let id = Incarnation::new("gpu", with.start);
-    owner.list(id.id(), with, now);
-    owner.held(&id, held, now, now, now);
+    owner.apply_listing(id.id(), with, now);
+    owner.renewed(&id, held, now, now, now);
     assert!(
         owner.load(now).free.iter().any(|free| free.room.accel > 0),
         "the load lists no free accelerator"
@@ -218,7 +218,7 @@
     cells.run(100);
     cells.give_job(OTHER, JobId(9), of(15));
     cells.run(TRANSFERRED_WITHIN);
-    assert_eq!(cells.owner(OTHER).moved(JobId(9)), Some(HOME as u32));
+    assert_eq!(cells.owner(OTHER).transferred_to(JobId(9)), Some(HOME as u32));
     assert_eq!(cells.living(), 20);
     cells.leave(HOME, 0);
     cells.run(9_000);
--- a/crates/owner/tests/turns.rs
+++ b/crates/owner/tests/turns.rs
@@ -29,7 +29,7 @@
 fn worker_of(world: &World, task: TaskId) -> Option<Arc<str>> {
     let owner = &world.owners.last().unwrap().cell;
     let mut workers = owner.workers.iter();
-    let found = workers.find(|(_, w)| w.flights.contains_key(&task));
+    let found = workers.find(|(_, w)| w.active_runs.contains_key(&task));
     found.map(|(incarnation, _)| incarnation.id().clone())
 }
 
--- a/crates/owner/tests/turns_elsewhere.rs
+++ b/crates/owner/tests/turns_elsewhere.rs
@@ -223,7 +223,7 @@
     cells.leave(HOME, 0);
     cells.run(MAX_DOWNTIME / 2);
     assert_eq!(
-        (cells.owner(HOME).gist().waiting, started_remote(&cells)),
+        (cells.owner(HOME).summary().waiting, started_remote(&cells)),
         (0, 0),
         "the tasks wait in the other cell"
     );
--- a/crates/owner/tests/wait_courses.rs
+++ b/crates/owner/tests/wait_courses.rs
@@ -11,7 +11,7 @@
 
 use common::{Faults, World, job, step};
 use myrtle_job::{JobId, State, StepSpec};
-use myrtle_owner::Limbo;
+use myrtle_owner::UncertainRuns;
 
 /// The number of changes of owner in a sequence.
 const CHANGES: u32 = 14;
@@ -183,8 +183,8 @@
         let mut violations = std::mem::take(&mut self.world.judge.broken);
         let now = self.world.now;
         let cell = &self.world.owners.last().unwrap().cell;
-        if cell.limbo(now) != Limbo::default() {
-            violations.push(format!("at the end {}", cell.limbo(now)));
+        if cell.uncertain(now) != UncertainRuns::default() {
+            violations.push(format!("at the end {}", cell.uncertain(now)));
         }
         // A job whose tasks lost too many workers may fail, though its tasks are sound.
         let given_up = |id: &JobId| {
--- a/crates/place/src/costs.rs
+++ b/crates/place/src/costs.rs
@@ -26,9 +26,9 @@
     /// The number of the service.
     pub service: u16,
     /// Shares of the processors by kind at the time of the measurement.
-    pub parts: Vec<(u16, f64)>,
+    pub shares: Vec<(u16, f64)>,
     /// The measured ratio of tail latency to target.
-    pub tail: f64,
+    pub tail_ratio: f64,
 }
 
 /// Learned costs for every pair of a service and a kind.
@@ -47,28 +47,28 @@
 
     /// What a kind adds to the service's ratio of tail latency to target when it uses the whole
     /// machine.
-    pub fn of(&self, service: u16, kind: u16) -> f64 {
+    pub fn cost(&self, service: u16, kind: u16) -> f64 {
         let at = service as usize * self.kinds + kind as usize;
         self.table.get(at).copied().unwrap_or(PRIOR)
     }
 
     /// The expected ratio of tail latency to target beside these shares.
-    pub fn expect(&self, service: u16, parts: impl Iterator<Item = (u16, f64)>) -> f64 {
+    pub fn predict(&self, service: u16, parts: impl Iterator<Item = (u16, f64)>) -> f64 {
         let base = self.base.get(service as usize).copied().unwrap_or(BASE);
-        parts.fold(base, |sum, (kind, share)| sum + self.of(service, kind) * share)
+        parts.fold(base, |sum, (kind, share)| sum + self.cost(service, kind) * share)
     }
 
     /// Updates the model by a measurement.
-    pub fn learn(&mut self, sample: &Sample) {
-        let error = sample.tail - self.expect(sample.service, sample.parts.iter().copied());
-        let norm = 0.25 + sample.parts.iter().map(|p| p.1 * p.1).sum::<f64>();
+    pub fn update(&mut self, sample: &Sample) {
+        let error = sample.tail_ratio - self.predict(sample.service, sample.shares.iter().copied());
+        let norm = 0.25 + sample.shares.iter().map(|p| p.1 * p.1).sum::<f64>();
         let service = sample.service as usize;
         let step = |share: f64| (LEARNING_RATE * error * share / norm).clamp(-MAX_STEP, MAX_STEP);
         if let Some(base) = self.base.get_mut(service) {
             *base = (*base + step(0.2)).max(0.05);
         }
         for kind in 0..self.kinds {
-            let share = sample.parts.iter().find(|p| p.0 as usize == kind).map_or(0.0, |p| p.1);
+            let share = sample.shares.iter().find(|p| p.0 as usize == kind).map_or(0.0, |p| p.1);
             let Some(cost) = self.table.get_mut(service * self.kinds + kind) else { return };
             match share > 0.0 {
                 true => *cost = (*cost + step(share)).max(0.0),
--- a/crates/place/src/fleet.rs
+++ b/crates/place/src/fleet.rs
@@ -6,7 +6,7 @@
 
 /// A task that needs a machine.
 #[derive(Debug, Clone, Copy)]
-pub struct Want {
+pub struct TaskRequest {
     /// The room that it takes.
     pub room: Room,
     /// The number of its kind.
@@ -33,9 +33,9 @@
     /// The processors given to each kind of task, in thousandths of a core.
     pub kinds: Vec<(u16, u32)>,
     /// The service's last measured ratio of tail latency to target; 0 if never measured.
-    pub tail: f64,
+    pub tail_ratio: f64,
     /// Whether it accepts tasks.
-    pub up: bool,
+    pub accepting: bool,
 }
 
 /// All machines of a cell.
@@ -48,22 +48,22 @@
 /// A placement policy.
 pub trait Placer: Debug {
     /// The number of the machine to run on, or nothing if the task should wait.
-    fn place(&mut self, fleet: &Fleet, want: &Want) -> Option<u32>;
+    fn place(&mut self, fleet: &Fleet, request: &TaskRequest) -> Option<u32>;
 }
 
 impl Machine {
     /// Whether it accepts tasks and has room for this one.
-    pub fn takes(&self, want: &Want) -> bool {
-        self.up && want.room.fits(&self.free)
+    pub fn accepts(&self, request: &TaskRequest) -> bool {
+        self.accepting && request.room.fits(&self.free)
     }
 
     /// The share of its room that is taken.
-    pub fn filled(&self) -> f64 {
+    pub fn used_share(&self) -> f64 {
         self.room.less(&self.free).share(&self.room)
     }
 
     /// The share of its processors that a task of this room takes.
-    pub fn part(&self, room: &Room) -> f64 {
+    pub fn cpu_share(&self, room: &Room) -> f64 {
         f64::from(room.cpu) / f64::from(self.room.cpu.max(1))
     }
 
--- a/crates/place/src/headroom.rs
+++ b/crates/place/src/headroom.rs
@@ -28,7 +28,7 @@
     }
 
     /// Updates the plan by a measured ratio of tail latency to target.
-    pub fn seen(&mut self, tail: f64) {
+    pub fn update(&mut self, tail: f64) {
         let step = if tail > 1.0 { -DECREASE } else { INCREASE };
         self.plan = (self.plan + step).clamp(MIN_PLAN, MAX_PLAN);
     }
--- a/crates/place/src/learned.rs
+++ b/crates/place/src/learned.rs
@@ -4,7 +4,7 @@
 use rand_chacha::ChaCha8Rng;
 
 use crate::baseline::candidates;
-use crate::{Costs, Fleet, Headroom, Machine, Placer, Sample, Want};
+use crate::{Costs, Fleet, Headroom, Machine, Placer, Sample, TaskRequest};
 
 /// How many machines are sampled before the whole fleet is searched.
 const SAMPLES: usize = 24;
@@ -31,9 +31,9 @@
     }
 
     /// Updates the model by a measurement.
-    pub fn learn(&mut self, sample: &Sample) {
-        self.headroom.seen(sample.tail);
-        self.costs.learn(sample);
+    pub fn update(&mut self, sample: &Sample) {
+        self.headroom.update(sample.tail_ratio);
+        self.costs.update(sample);
     }
 
     /// The learned costs.
@@ -42,40 +42,41 @@
     }
 
     /// The expected ratios of tail latency to target on a machine, without and with the task.
-    fn expect(&self, machine: &Machine, want: &Want) -> (f64, f64) {
+    fn predict(&self, machine: &Machine, request: &TaskRequest) -> (f64, f64) {
         let cores = f64::from(machine.room.cpu.max(1));
         let shares = machine.kinds.iter().map(|(k, cpu)| (*k, f64::from(*cpu) / cores));
-        let model = self.costs.expect(machine.service, shares);
-        let measured = if machine.tail > 0.0 { machine.tail } else { model };
+        let model = self.costs.predict(machine.service, shares);
+        let measured = if machine.tail_ratio > 0.0 { machine.tail_ratio } else { model };
         let now = model.max(model * (1.0 - MEASURED_WEIGHT) + measured * MEASURED_WEIGHT);
-        let more = self.costs.of(machine.service, want.kind) * machine.part(&want.room);
+        let more =
+            self.costs.cost(machine.service, request.kind) * machine.cpu_share(&request.room);
         (now, now + more)
     }
 
     /// The cost of a machine, or nothing if the service would miss its target.
-    fn cost(&self, machine: &Machine, want: &Want) -> Option<f64> {
-        let (now, then) = self.expect(machine, want);
+    fn cost(&self, machine: &Machine, request: &TaskRequest) -> Option<f64> {
+        let (now, then) = self.predict(machine, request);
         // A service that was never measured has no requests, so it can't be slowed.
-        let over = machine.tail > 0.0 && then > self.headroom.plan();
-        if over && !want.urgent {
+        let over = machine.tail_ratio > 0.0 && then > self.headroom.plan();
+        if over && !request.urgent {
             return None;
         }
         // Prefers machines where the task slows the service least; among equals, the fuller one.
         let rise = then - now;
         let penalty = if over { 10.0 * then } else { 0.0 };
-        Some(penalty + rise + 0.1 * then - 0.05 * machine.filled())
+        Some(penalty + rise + 0.1 * then - 0.05 * machine.used_share())
     }
 
-    fn sampled(&mut self, fleet: &Fleet, want: &Want) -> Option<u32> {
+    fn sampled(&mut self, fleet: &Fleet, request: &TaskRequest) -> Option<u32> {
         let n = fleet.machines.len();
         let mut best: Option<(f64, u32)> = None;
         for _ in 0..SAMPLES.min(n * 2) {
             let at = self.rng.random_range(0..n) as u32;
             let machine = &fleet.machines[at as usize];
-            if want.avoid == Some(at) || !machine.takes(want) {
+            if request.avoid == Some(at) || !machine.accepts(request) {
                 continue;
             }
-            let Some(cost) = self.cost(machine, want) else { continue };
+            let Some(cost) = self.cost(machine, request) else { continue };
             if best.is_none_or(|(c, _)| cost < c) {
                 best = Some((cost, at));
             }
@@ -85,14 +86,15 @@
 }
 
 impl Placer for Learned {
-    fn place(&mut self, fleet: &Fleet, want: &Want) -> Option<u32> {
+    fn place(&mut self, fleet: &Fleet, request: &TaskRequest) -> Option<u32> {
         if fleet.machines.is_empty() {
             return None;
         }
-        if let Some(at) = self.sampled(fleet, want) {
+        if let Some(at) = self.sampled(fleet, request) {
             return Some(at);
         }
-        let costs = candidates(fleet, want).filter_map(|(n, m)| Some((self.cost(m, want)?, n)));
+        let costs =
+            candidates(fleet, request).filter_map(|(n, m)| Some((self.cost(m, request)?, n)));
         costs.min_by(|a, b| a.0.total_cmp(&b.0)).map(|c| c.1)
     }
 }
--- a/crates/place/src/lib.rs
+++ b/crates/place/src/lib.rs
@@ -10,7 +10,7 @@
 
 pub use baseline::{BestFit, FirstFit, LeastLoaded};
 pub use costs::{Costs, Sample};
-pub use fleet::{Fleet, Machine, Placer, Want};
+pub use fleet::{Fleet, Machine, Placer, TaskRequest};
 pub use headroom::Headroom;
 pub use learned::Learned;
-pub use relief::{Act, Neighbour, Relief};
+pub use relief::{Action, Neighbour, Relief};
--- a/crates/place/src/relief.rs
+++ b/crates/place/src/relief.rs
@@ -29,20 +29,20 @@
     /// The price of its class.
     pub price: u32,
     /// What it is expected to add to the service's ratio of tail latency to target.
-    pub harm: f64,
+    pub slowdown: f64,
     /// The work since its last checkpoint, which an eviction would lose.
-    pub lost: Millis,
+    pub unsaved: Millis,
     /// Whether it is a long-running watcher.
     pub watcher: bool,
 }
 
 /// An action on the machine.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Act {
+pub enum Action {
     /// Limits the task to this percentage of its processors.
     Throttle(u64, u8),
     /// Lifts the task's throttle.
-    Free(u64),
+    Lift(u64),
     /// Stops the task after a checkpoint.
     Evict(u64),
 }
@@ -57,7 +57,7 @@
 
 impl Relief {
     /// Chooses an action, if any, after a measured ratio of tail latency to target.
-    pub fn seen(&mut self, tail: f64, neighbours: &[Neighbour]) -> Option<Act> {
+    pub fn observe(&mut self, tail: f64, neighbours: &[Neighbour]) -> Option<Action> {
         self.throttled.retain(|id| neighbours.iter().any(|t| t.id == *id));
         self.over = if tail > 1.0 { self.over + 1 } else { 0 };
         self.calm = if tail < CALM_BELOW { self.calm + 1 } else { 0 };
@@ -66,7 +66,7 @@
         }
         if self.calm >= LIFT_AFTER {
             self.calm = 0;
-            return self.throttled.pop().map(Act::Free);
+            return self.throttled.pop().map(Action::Lift);
         }
         None
     }
@@ -76,12 +76,13 @@
         &self.throttled
     }
 
-    fn choose_task(&mut self, neighbours: &[Neighbour]) -> Option<Act> {
-        let running = neighbours.iter().filter(|t| !self.throttled.contains(&t.id) && t.harm > 0.0);
+    fn choose_task(&mut self, neighbours: &[Neighbour]) -> Option<Action> {
+        let running =
+            neighbours.iter().filter(|t| !self.throttled.contains(&t.id) && t.slowdown > 0.0);
         let chosen = running.max_by(|a, b| throttle_benefit(a).total_cmp(&throttle_benefit(b)));
         if let Some(chosen) = chosen {
             self.throttled.push(chosen.id);
-            return Some(Act::Throttle(chosen.id, THROTTLED_PERCENT));
+            return Some(Action::Throttle(chosen.id, THROTTLED_PERCENT));
         }
         if self.over < EVICT_AFTER {
             return None;
@@ -89,18 +90,18 @@
         self.over = 0;
         let cheapest =
             neighbours.iter().min_by(|a, b| eviction_loss(a).total_cmp(&eviction_loss(b)))?;
-        Some(Act::Evict(cheapest.id))
+        Some(Action::Evict(cheapest.id))
     }
 }
 
 /// The benefit of a throttle relative to the price of the task.
 fn throttle_benefit(neighbour: &Neighbour) -> f64 {
-    neighbour.harm / f64::from(1 + neighbour.price)
+    neighbour.slowdown / f64::from(1 + neighbour.price)
 }
 
 /// The loss by an eviction relative to the slowdown that it ends.
 fn eviction_loss(neighbour: &Neighbour) -> f64 {
     let watcher = if neighbour.watcher { WATCHER_WEIGHT } else { 0.0 };
-    let work = neighbour.lost.0 as f64 / 1000.0;
-    f64::from(1 + neighbour.price) * (1.0 + work + watcher) / (0.01 + neighbour.harm)
+    let work = neighbour.unsaved.0 as f64 / 1000.0;
+    f64::from(1 + neighbour.price) * (1.0 + work + watcher) / (0.01 + neighbour.slowdown)
 }
--- a/crates/sched/src/balance.rs
+++ b/crates/sched/src/balance.rs
@@ -6,7 +6,7 @@
 
 use myrtle_base::{Millis, Room};
 use myrtle_cell::{Cell, Job, Op, State, Task, TaskId, Why};
-use myrtle_place::{Act, Learned, Neighbour, Relief, Sample};
+use myrtle_place::{Action, Learned, Neighbour, Relief, Sample};
 use myrtle_platform::{Throttle, UsageReport};
 
 use crate::claims::Kinds;
@@ -55,21 +55,23 @@
     let Some(tail) = tail else { return measures };
     let room = cell.workers[no as usize].room;
     let part = |task: &Task| f64::from(task.given.cpu) / f64::from(room.cpu.max(1));
-    let mut sample = Sample { service: SERVICE, parts: Vec::new(), tail };
+    let mut sample = Sample { service: SERVICE, shares: Vec::new(), tail_ratio: tail };
     for (_, task, job) in running(cell, no) {
-        sample.parts.push((policy.kinds.number(&job.spec.kind), part(task)));
+        sample.shares.push((policy.kinds.number(&job.spec.kind), part(task)));
     }
-    policy.placer.learn(&sample);
+    policy.placer.update(&sample);
     let mut neighbours = Vec::new();
     for (id, task, job) in running(cell, no) {
         let kind = policy.kinds.number(&job.spec.kind);
-        let harm = policy.placer.costs().of(SERVICE, kind) * part(task);
-        neighbours.push(neighbour(cell, id, task, job, harm));
+        let slowdown = policy.placer.costs().cost(SERVICE, kind) * part(task);
+        neighbours.push(neighbour(cell, id, task, job, slowdown));
     }
-    match relief.seen(tail, &neighbours) {
-        Some(Act::Throttle(id, percent)) => measures.throttle = throttle(cell, centre, id, percent),
-        Some(Act::Free(id)) => measures.throttle = throttle(cell, centre, id, 100),
-        Some(Act::Evict(id)) => measures.ops.extend(evict(cell, unpack(id), Why::Interference)),
+    match relief.observe(tail, &neighbours) {
+        Some(Action::Throttle(id, percent)) => {
+            measures.throttle = throttle(cell, centre, id, percent)
+        }
+        Some(Action::Lift(id)) => measures.throttle = throttle(cell, centre, id, 100),
+        Some(Action::Evict(id)) => measures.ops.extend(evict(cell, unpack(id), Why::Interference)),
         None => {}
     }
     measures
@@ -111,13 +113,13 @@
     cell.tasks_on(no).filter(|(_, t, _)| matches!(t.state, State::Running(_)))
 }
 
-fn neighbour(cell: &Cell, id: TaskId, task: &Task, job: &Job, harm: f64) -> Neighbour {
+fn neighbour(cell: &Cell, id: TaskId, task: &Task, job: &Job, slowdown: f64) -> Neighbour {
     Neighbour {
         id: pack(id),
         price: job.spec.price,
-        harm,
+        slowdown,
         // Checkpoints are frequent: at most the run so far is lost.
-        lost: cell.now.since(task.since).min(Millis(60_000)),
+        unsaved: cell.now.since(task.since).min(Millis(60_000)),
         watcher: job.spec.watcher(),
     }
 }
--- a/crates/sched/src/claims.rs
+++ b/crates/sched/src/claims.rs
@@ -4,7 +4,7 @@
 
 use myrtle_base::Room;
 use myrtle_cell::{Cell, Health, Job, Op, State, TaskId, Why};
-use myrtle_place::{Fleet, Machine, Placer, Want};
+use myrtle_place::{Fleet, Machine, Placer, TaskRequest};
 
 /// Claims proposed at a time.
 const MOST: usize = 256;
@@ -39,8 +39,8 @@
             room: worker.room,
             free: worker.room,
             rack: *racks.entry(&worker.rack).or_insert(next),
-            tail: tails.get(&(no as u32)).copied().unwrap_or_default(),
-            up: worker.health == Health::Up && worker.takes(cell.now),
+            tail_ratio: tails.get(&(no as u32)).copied().unwrap_or_default(),
+            accepting: worker.health == Health::Up && worker.takes(cell.now),
             ..Machine::default()
         };
         for (_, task, job) in cell.tasks_on(no as u32) {
@@ -67,16 +67,16 @@
         if cell.now < task.wait {
             continue;
         }
-        let want = Want {
+        let request = TaskRequest {
             room: job.room,
             kind: kinds.number(&job.spec.kind),
             avoid: job.doubtful().filter(|_| cell.workers.len() > 1).or(task.avoid),
             urgent: job.spec.price > 0 && job.spec.watcher(),
             group: id.job,
         };
-        match placer.place(fleet, &want) {
+        match placer.place(fleet, &request) {
             Some(worker) => {
-                fleet.machines[worker as usize].add(&want.room, want.kind);
+                fleet.machines[worker as usize].add(&request.room, request.kind);
                 ops.push(Op::Claim { task: id, attempt: task.attempt + 1, worker });
             }
             None => {
