--- a/crates/ctl/src/args.rs
+++ b/crates/ctl/src/args.rs
@@ -1,4 +1,4 @@
-//! The command line.
+//! Arguments of the command line; doc comments of `argh` items are its help texts.
 
 use std::net::SocketAddr;
 use std::path::PathBuf;
@@ -22,7 +22,7 @@
     pub command: Command,
 }
 
-/// What to do.
+/// Subcommands.
 #[derive(Debug, FromArgs)]
 #[argh(subcommand)]
 pub enum Command {
@@ -32,13 +32,13 @@
     Diff(Diff),
     /// Applies a file.
     Apply(Apply),
-    /// Lists things.
+    /// Lists services, jobs, workers, parties or config.
     Get(Get),
-    /// Says why a task stands where it stands.
+    /// Explains the state of a task.
     Why(Why),
-    /// Shows usage and what is due.
+    /// Shows usage and cost.
     Usage(Usage),
-    /// Shows how the hosts are.
+    /// Shows the status of hosts.
     Status(Status),
     /// Drains a worker.
     Drain(Drain),
@@ -50,7 +50,7 @@
     Cancel(Cancel),
     /// Shows the time line.
     Timeline(Timeline),
-    /// Says how far a job on the users' platform is.
+    /// Shows the progress of a job on the users' platform.
     Job(Job),
 }
 
--- a/crates/ctl/src/ask.rs
+++ b/crates/ctl/src/commands.rs
@@ -1,4 +1,4 @@
-//! Questions and orders to the hosts.
+//! Commands that query hosts or send them orders.
 
 use std::io::Read;
 
@@ -6,56 +6,56 @@
 
 use myrtle_platform::{Failure, Role};
 
-use crate::Failed;
+use crate::Error;
 use crate::cluster::Cluster;
 use crate::table::print;
 
-/// Lists things.
-pub async fn get(cluster: &Cluster, what: &str, json: bool) -> Result<(), Failed> {
+/// Lists services, jobs, workers, parties or scopes of the configuration.
+pub async fn get(cluster: &Cluster, what: &str, json: bool) -> Result<(), Error> {
     match what.to_lowercase().as_str() {
         "jobs" => {
             let columns =
                 ["job", "number", "party", "class", "data_centre", "state", "open", "done"];
-            print(&flat(cluster, "/jobs").await?, &columns, json);
+            print(&query_rows(cluster, "/jobs").await?, &columns, json);
         }
         "workers" => {
             let columns = ["worker", "data_centre", "rack", "has", "given", "health", "tasks"];
-            print(&flat(cluster, "/workers").await?, &columns, json);
+            print(&query_rows(cluster, "/workers").await?, &columns, json);
         }
         "services" => services(cluster, json).await?,
         "parties" => parties(cluster, json).await?,
         "config" => config(cluster, json).await?,
         other => {
             let hint = "ask for services, jobs, workers, parties or config";
-            return Err(Failed::File(format!("cannot list '{other}'\n  hint: {hint}")));
+            return Err(Error::Input(format!("cannot list '{other}'\n  hint: {hint}")));
         }
     }
     Ok(())
 }
 
-/// Says why a task stands where it stands.
-pub async fn why(cluster: &Cluster, task: &str, json: bool) -> Result<(), Failed> {
-    let answers: Vec<Value> = cluster.ask_centres(&format!("/why?task={task}")).await?;
+/// Prints the state of a task and the reason for it.
+pub async fn why(cluster: &Cluster, task: &str, json: bool) -> Result<(), Error> {
+    let answers: Vec<Value> = cluster.query_centres(&format!("/why?task={task}")).await?;
     if answers.is_empty() {
         let hint = "name it JOB.INDEX; see 'myrtlectl get jobs'";
-        return Err(Failed::Refused(format!("no task '{task}'\n  hint: {hint}")));
+        return Err(Error::Refused(format!("no task '{task}'\n  hint: {hint}")));
     }
     let columns = ["task", "state", "worker", "attempt", "evictions", "checkpoint", "reason"];
     print(&answers, &columns, json);
     Ok(())
 }
 
-/// Shows usage.
-pub async fn usage(cluster: &Cluster, json: bool) -> Result<(), Failed> {
+/// Prints the usage and cost of each customer.
+pub async fn usage(cluster: &Cluster, json: bool) -> Result<(), Error> {
     let columns = ["party", "class", "data_centre", "requests", "busy_ms", "price", "due"];
-    print(&flat(cluster, "/usage").await?, &columns, json);
+    print(&query_rows(cluster, "/usage").await?, &columns, json);
     Ok(())
 }
 
-/// Shows how the hosts are.
-pub async fn status(cluster: &Cluster, json: bool) -> Result<(), Failed> {
+/// Prints the status of every gate and sched.
+pub async fn status(cluster: &Cluster, json: bool) -> Result<(), Error> {
     let rows =
-        cluster.ask_all::<Value>(None, "/status").await?.into_iter().map(|(host, status)| {
+        cluster.query_all::<Value>(None, "/status").await?.into_iter().map(|(host, status)| {
             let answers = status.is_some();
             let status = status.unwrap_or_default();
             value!({
@@ -75,32 +75,30 @@
     Ok(())
 }
 
-/// Lets a worker take nothing new, or work again; a gate finishes what it has and ends.
-pub async fn drain(cluster: &Cluster, worker: &str, on: bool, json: bool) -> Result<(), Failed> {
+/// Starts or ends the drain of a worker, or stops a gate after its current requests.
+pub async fn drain(cluster: &Cluster, worker: &str, on: bool, json: bool) -> Result<(), Error> {
     let gate =
         cluster.hosts().await?.into_iter().find(|h| h.name == worker && h.role == Role::Gate);
     if let Some(gate) = gate.filter(|_| on) {
         if !cluster.stop_gate(&gate).await {
-            return Err(Failed::Unknown(format!(
-                "{worker} gave no answer; see 'myrtlectl status'"
-            )));
+            return Err(Error::Unknown(format!("{worker} did not answer; see 'myrtlectl status'")));
         }
         print(&[value!({"gate": worker, "accepted": true})], &["gate", "accepted"], json);
         return Ok(());
     }
-    order(cluster, &format!("/drain?worker={worker}&on={on}"), worker, json).await
+    send_order(cluster, &format!("/drain?worker={worker}&on={on}"), worker, json).await
 }
 
-/// Evicts or releases a task.
-pub async fn task(cluster: &Cluster, verb: &str, task: &str, json: bool) -> Result<(), Failed> {
-    order(cluster, &format!("/{verb}?task={task}"), task, json).await
+/// Evicts or releases a task, as `verb` says.
+pub async fn task(cluster: &Cluster, verb: &str, task: &str, json: bool) -> Result<(), Error> {
+    send_order(cluster, &format!("/{verb}?task={task}"), task, json).await
 }
 
-/// Cancels jobs wherever they are.
-pub async fn cancel(cluster: &Cluster, jobs: &[String], json: bool) -> Result<(), Failed> {
+/// Cancels jobs in all data centres.
+pub async fn cancel(cluster: &Cluster, jobs: &[String], json: bool) -> Result<(), Error> {
     let jobs = match jobs {
-        [] => return Err(Failed::File("no jobs\n  hint: name them, or use '-'".into())),
-        [dash] if dash == "-" => from_input()?,
+        [] => return Err(Error::Input("no jobs\n  hint: name them, or use '-'".into())),
+        [dash] if dash == "-" => read_stdin()?,
         jobs => jobs.to_vec(),
     };
     let answers = cluster.post_centres("/cancel", &jobs).await?;
@@ -114,16 +112,16 @@
         rows.push(row);
         if unknown {
             print(&rows, &["data_centre", "cancelled", "unknown", "stopping", "error"], json);
-            return Err(Failed::Unknown(format!("{centre} gave no answer; cancel again")));
+            return Err(Error::Unknown(format!("{centre} did not answer; cancel again")));
         }
     }
     print(&rows, &["data_centre", "cancelled", "unknown", "stopping"], json);
     Ok(())
 }
 
-/// Gives an order that one data centre can carry out.
-async fn order(cluster: &Cluster, path: &str, what: &str, json: bool) -> Result<(), Failed> {
-    let mut refused = format!("no data centre knows '{what}'");
+/// Sends an order to all data centres until one carries it out.
+async fn send_order(cluster: &Cluster, path: &str, what: &str, json: bool) -> Result<(), Error> {
+    let mut refused = format!("no data centre has '{what}'");
     for (centre, answer) in cluster.post_centres(path, &()).await? {
         match answer {
             Ok(_) => {
@@ -131,19 +129,19 @@
                 return Ok(());
             }
             Err(Failure::Status(404, _)) => {}
-            Err(Failure::Status(503, text)) => return Err(Failed::Unknown(text)),
+            Err(Failure::Status(503, text)) => return Err(Error::Unknown(text)),
             Err(e) => refused = format!("{centre}: {e}"),
         }
     }
-    Err(Failed::Refused(refused))
+    Err(Error::Refused(refused))
 }
 
-async fn flat(cluster: &Cluster, path: &str) -> Result<Vec<Value>, Failed> {
-    let centres: Vec<Vec<Value>> = cluster.ask_centres(path).await?;
+async fn query_rows(cluster: &Cluster, path: &str) -> Result<Vec<Value>, Error> {
+    let centres: Vec<Vec<Value>> = cluster.query_centres(path).await?;
     Ok(centres.into_iter().flatten().collect())
 }
 
-async fn services(cluster: &Cluster, json: bool) -> Result<(), Failed> {
+async fn services(cluster: &Cluster, json: bool) -> Result<(), Error> {
     let config = cluster.config().await?;
     let services = config.platform().into_iter().flat_map(|p| &p.services);
     let rows: Vec<Value> = services
@@ -160,7 +158,7 @@
     Ok(())
 }
 
-async fn parties(cluster: &Cluster, json: bool) -> Result<(), Failed> {
+async fn parties(cluster: &Cluster, json: bool) -> Result<(), Error> {
     let config = cluster.config().await?;
     let parties = config.platform().into_iter().flat_map(|p| &p.parties);
     let rows: Vec<Value> = parties
@@ -170,7 +168,7 @@
     Ok(())
 }
 
-async fn config(cluster: &Cluster, json: bool) -> Result<(), Failed> {
+async fn config(cluster: &Cluster, json: bool) -> Result<(), Error> {
     let config = cluster.config().await?;
     let rows: Vec<Value> = config
         .scopes
@@ -181,9 +179,9 @@
     Ok(())
 }
 
-fn from_input() -> Result<Vec<String>, Failed> {
+fn read_stdin() -> Result<Vec<String>, Error> {
     let mut text = String::new();
     let read = std::io::stdin().read_to_string(&mut text);
-    read.map_err(|e| Failed::File(format!("cannot read the jobs: {e}")))?;
+    read.map_err(|e| Error::Input(format!("cannot read the jobs: {e}")))?;
     Ok(text.lines().map(str::trim).filter(|l| !l.is_empty()).map(String::from).collect())
 }
--- a/crates/ctl/src/job.rs
+++ b/crates/ctl/src/job.rs
@@ -1,4 +1,4 @@
-//! What the owner of its cell knows of a job on the users' platform.
+//! Prints the state of a job on the users' platform, as the owner of its cell reports it.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -8,22 +8,22 @@
 use myrtle_job::JobId;
 use myrtle_peer::{FrontPeerClient, Link};
 
-use crate::Failed;
+use crate::Error;
 
-/// The most cells that are asked; the platform's topics have no more partitions.
-const CELLS: u32 = 24;
+/// Number of cells queried, the largest number of partitions that the platform's topics have.
+const MAX_CELLS: u32 = 24;
 
-/// How long the store or a host may take.
-const LIMIT: Duration = Duration::from_secs(2);
+/// Timeout of a call to the store or a host.
+const TIMEOUT: Duration = Duration::from_secs(2);
 
-/// Finds the owner that knows the job, and prints what it knows.
-pub async fn show(store: SocketAddr, job: &str, json: bool) -> Result<(), Failed> {
-    let id: JobId = job.parse().map_err(|e| Failed::File(format!("{e}")))?;
+/// Queries the owner of each cell until one has the job, and prints its answer.
+pub async fn show(store: SocketAddr, job: &str, json: bool) -> Result<(), Error> {
+    let id: JobId = job.parse().map_err(|e| Error::Input(format!("{e}")))?;
     let store = Store::new(store);
     let mut owners = 0;
-    for cell in 0..CELLS {
-        let rows = store.owners(&cell_group(cell), LIMIT).await;
-        let rows = rows.map_err(|e| Failed::Away(e.to_string()))?;
+    for cell in 0..MAX_CELLS {
+        let rows = store.owners(&cell_group(cell), TIMEOUT).await;
+        let rows = rows.map_err(|e| Error::Unreachable(e.to_string()))?;
         let Some(owner) = rows.into_iter().find(|r| r.part == cell) else {
             continue;
         };
@@ -42,15 +42,15 @@
         return Ok(());
     }
     match owners {
-        0 => Err(Failed::Away("no cell has an owner; look for 'owner-begins' in the logs".into())),
-        _ => Err(Failed::Refused(format!("no owner knows job {id}; it may be forgotten by now"))),
+        0 => Err(Error::Unreachable("no cell has an owner; see 'owner-begins' in the logs".into())),
+        _ => Err(Error::Refused(format!("no owner has job {id}; it may have been removed"))),
     }
 }
 
-async fn explain(member: &str, cell: u32, job: JobId) -> Result<Vec<String>, Failed> {
-    let away = || Failed::Away(format!("the owner {member} does not answer"));
-    let at = member_address(member).ok_or_else(away)?;
+async fn explain(member: &str, cell: u32, job: JobId) -> Result<Vec<String>, Error> {
+    let unreachable = || Error::Unreachable(format!("the owner {member} does not answer"));
+    let at = member_address(member).ok_or_else(unreachable)?;
     let link: Link<FrontPeerClient> = Link::new(at);
-    let call = link.call(LIMIT, |c, context| async move { c.explain(context, cell, job).await });
-    call.await.ok_or_else(away)
+    let call = link.call(TIMEOUT, |c, context| async move { c.explain(context, cell, job).await });
+    call.await.ok_or_else(unreachable)
 }
--- a/crates/ctl/src/main.rs
+++ b/crates/ctl/src/main.rs
@@ -1,10 +1,10 @@
-//! `myrtlectl`: what operators do and ask.
+//! `myrtlectl`, the operator's command line.
 
-/// Prints a line; whoever stopped reading has seen enough.
+/// Prints a line; exits successfully if standard output was closed, as by `head`.
 macro_rules! say {
-    ($($word:tt)*) => {{
+    ($($arg:tt)*) => {{
         use std::io::Write;
-        if writeln!(std::io::stdout(), $($word)*).is_err() {
+        if writeln!(std::io::stdout(), $($arg)*).is_err() {
             std::process::exit(0);
         }
     }};
@@ -12,8 +12,8 @@
 
 mod apply;
 mod args;
-mod ask;
 mod cluster;
+mod commands;
 mod files;
 mod job;
 mod table;
@@ -24,32 +24,32 @@
 use crate::args::{Args, Command};
 use crate::cluster::Cluster;
 
-/// Why a command failed, and the exit code that says so; see docs/OPERATING.md.
+/// Why a command failed; the variant sets the exit code, see docs/OPERATING.md.
 #[derive(Debug)]
-pub enum Failed {
-    /// A file is wrong.
-    File(String),
-    /// It was turned down.
+pub enum Error {
+    /// A file or an argument is invalid.
+    Input(String),
+    /// The request was refused.
     Refused(String),
-    /// The outcome is unknown.
+    /// It is unknown whether the command took effect.
     Unknown(String),
-    /// Something cannot be reached.
-    Away(String),
+    /// A service or host cannot be reached.
+    Unreachable(String),
 }
 
-impl Failed {
-    fn code(&self) -> u8 {
+impl Error {
+    fn exit_code(&self) -> u8 {
         match self {
-            Failed::File(_) => 2,
-            Failed::Refused(_) => 3,
-            Failed::Unknown(_) => 4,
-            Failed::Away(_) => 5,
+            Error::Input(_) => 2,
+            Error::Refused(_) => 3,
+            Error::Unknown(_) => 4,
+            Error::Unreachable(_) => 5,
         }
     }
 
-    fn text(&self) -> &str {
+    fn message(&self) -> &str {
         match self {
-            Failed::File(t) | Failed::Refused(t) | Failed::Unknown(t) | Failed::Away(t) => t,
+            Error::Input(t) | Error::Refused(t) | Error::Unknown(t) | Error::Unreachable(t) => t,
         }
     }
 }
@@ -59,34 +59,34 @@
     let args: Args = argh::from_env();
     match run(args).await {
         Ok(()) => ExitCode::SUCCESS,
-        Err(failed) => {
-            eprintln!("error: {}", failed.text());
-            ExitCode::from(failed.code())
+        Err(error) => {
+            eprintln!("error: {}", error.message());
+            ExitCode::from(error.exit_code())
         }
     }
 }
 
-async fn run(args: Args) -> Result<(), Failed> {
+async fn run(args: Args) -> Result<(), Error> {
     let json = args.json;
     if let Command::Check(check) = &args.command {
         return files::check(&check.file, json);
     }
-    if let Command::Job(asked) = &args.command {
-        return job::show(asked.store, &asked.job, json).await;
+    if let Command::Job(job_args) = &args.command {
+        return job::show(job_args.store, &job_args.job, json).await;
     }
     let cluster = Cluster::new(args.log, args.hosts)?;
     match args.command {
         Command::Check(_) | Command::Job(_) => Ok(()),
         Command::Diff(diff) => apply::diff(&cluster, &diff.file, json).await,
         Command::Apply(apply) => apply::apply(&cluster, &apply, json).await,
-        Command::Get(get) => ask::get(&cluster, &get.what, json).await,
-        Command::Why(why) => ask::why(&cluster, &why.task, json).await,
-        Command::Usage(_) => ask::usage(&cluster, json).await,
-        Command::Status(_) => ask::status(&cluster, json).await,
-        Command::Drain(drain) => ask::drain(&cluster, &drain.worker, !drain.off, json).await,
-        Command::Evict(evict) => ask::task(&cluster, "evict", &evict.task, json).await,
-        Command::Release(release) => ask::task(&cluster, "release", &release.task, json).await,
-        Command::Cancel(cancel) => ask::cancel(&cluster, &cancel.jobs, json).await,
+        Command::Get(get) => commands::get(&cluster, &get.what, json).await,
+        Command::Why(why) => commands::why(&cluster, &why.task, json).await,
+        Command::Usage(_) => commands::usage(&cluster, json).await,
+        Command::Status(_) => commands::status(&cluster, json).await,
+        Command::Drain(drain) => commands::drain(&cluster, &drain.worker, !drain.off, json).await,
+        Command::Evict(evict) => commands::task(&cluster, "evict", &evict.task, json).await,
+        Command::Release(release) => commands::task(&cluster, "release", &release.task, json).await,
+        Command::Cancel(cancel) => commands::cancel(&cluster, &cancel.jobs, json).await,
         Command::Timeline(t) => timeline::show(&cluster, &t, json).await,
     }
 }
--- a/crates/ctl/src/table.rs
+++ b/crates/ctl/src/table.rs
@@ -1,8 +1,8 @@
-//! Tables for people, JSON for programs.
+//! Prints rows as a table, or as JSON for programs.
 
 use serde_json::Value;
 
-/// Prints rows as a table, or as JSON.
+/// Prints rows with the given columns, or all their keys as JSON.
 pub fn print(rows: &[Value], columns: &[&str], json: bool) {
     if json {
         say!("{}", Value::from(rows.to_vec()));
--- a/crates/ctl/src/timeline.rs
+++ b/crates/ctl/src/timeline.rs
@@ -1,4 +1,4 @@
-//! Events of all processes in causal order.
+//! Prints the events of all processes in causal order.
 
 use std::collections::BTreeSet;
 use std::io::IsTerminal;
@@ -6,22 +6,23 @@
 
 use myrtle_base::{Event, Stamp};
 
-use crate::Failed;
+use crate::Error;
 use crate::args::Timeline;
 use crate::cluster::Cluster;
 
-/// The time between two looks with `--follow`.
-const ROUND: Duration = Duration::from_millis(500);
+/// Time between two queries with `--follow`.
+const POLL_INTERVAL: Duration = Duration::from_millis(500);
 
-/// Bits of a stamp below its milliseconds.
-const COUNT_BITS: u32 = 16;
+/// Low bits of a stamp that count events within one millisecond.
+const COUNTER_BITS: u32 = 16;
 
-/// Shows the time line.
-pub async fn show(cluster: &Cluster, args: &Timeline, json: bool) -> Result<(), Failed> {
-    let mut since = args.since.map_or(0, |s| wall_millis().saturating_sub(s * 1000) << COUNT_BITS);
+/// Prints the time line.
+pub async fn show(cluster: &Cluster, args: &Timeline, json: bool) -> Result<(), Error> {
+    let mut since = args.since.map_or(0, |s| unix_ms().saturating_sub(s * 1000) << COUNTER_BITS);
     let mut shown = BTreeSet::new();
     loop {
-        let hosts = cluster.ask_all::<Vec<Event>>(None, &format!("/events?since={since}")).await?;
+        let hosts =
+            cluster.query_all::<Vec<Event>>(None, &format!("/events?since={since}")).await?;
         let mut events: Vec<Event> =
             hosts.into_iter().flat_map(|h| h.1.unwrap_or_default()).collect();
         events.sort_by(|a, b| (a.stamp, &a.host).cmp(&(b.stamp, &b.host)));
@@ -33,10 +34,10 @@
         if !args.follow {
             return Ok(());
         }
-        // A host's events may come late: look back a little each time.
+        // A host may deliver events late, so each query overlaps the previous one by 5 s.
         let newest = events.last().map_or(Stamp(since), |e| e.stamp);
-        since = since.max(newest.0.saturating_sub(5_000 << COUNT_BITS));
-        tokio::time::sleep(ROUND).await;
+        since = since.max(newest.0.saturating_sub(5_000 << COUNTER_BITS));
+        tokio::time::sleep(POLL_INTERVAL).await;
     }
 }
 
@@ -53,6 +54,6 @@
     say!("{dim}{h:02}:{m:02}:{s:02}.{ms:03} {host:12} {part:7}{plain} {text}");
 }
 
-fn wall_millis() -> u64 {
+fn unix_ms() -> u64 {
     SystemTime::now().duration_since(UNIX_EPOCH).map_or(0, |d| d.as_millis() as u64)
 }
--- a/crates/ctl/tests/cli.rs
+++ b/crates/ctl/tests/cli.rs
@@ -1,4 +1,4 @@
-//! The command line against stand-ins, as an operator runs it.
+//! Runs `myrtlectl` as a process against stand-ins of the platform.
 
 use std::path::PathBuf;
 use std::process::Output;
@@ -26,28 +26,28 @@
 ...
 ";
 
-/// A file that goes when the test ends.
-struct File(PathBuf);
+/// A file that is removed when dropped.
+struct TempFile(PathBuf);
 
-impl Drop for File {
+impl Drop for TempFile {
     fn drop(&mut self) {
         let _ = std::fs::remove_file(&self.0);
     }
 }
 
-fn file(text: &str) -> File {
+fn file(text: &str) -> TempFile {
     static COUNT: AtomicU32 = AtomicU32::new(0);
     let n = COUNT.fetch_add(1, Ordering::Relaxed);
     let path = std::env::temp_dir().join(format!("myrtlectl-{}-{n}.yaml", std::process::id()));
     std::fs::write(&path, text).unwrap();
-    File(path)
+    TempFile(path)
 }
 
-async fn run(world: &World, words: &[&str], file: Option<&File>) -> Output {
+async fn ctl(world: &World, args: &[&str], file: Option<&TempFile>) -> Output {
     let mut command = Command::new(env!("CARGO_BIN_EXE_myrtlectl"));
     command.env("MYRTLE_LOG", world.log_at.to_string());
     command.env("MYRTLE_HOSTS", world.hosts_at.to_string());
-    command.args(words);
+    command.args(args);
     command.args(file.map(|f| &f.0));
     command.output().await.unwrap()
 }
@@ -56,7 +56,7 @@
     output.status.code().unwrap()
 }
 
-fn said(output: &Output) -> String {
+fn printed(output: &Output) -> String {
     let text = |bytes: &[u8]| String::from_utf8_lossy(bytes).into_owned();
     text(&output.stdout) + &text(&output.stderr)
 }
@@ -69,45 +69,45 @@
 async fn a_bad_file_is_refused_with_its_line() {
     let world = world().await;
     let bad = file(&GOOD.replace("price: 1", "price: -1"));
-    let output = run(&world, &["check"], Some(&bad)).await;
+    let output = ctl(&world, &["check"], Some(&bad)).await;
     assert_eq!(code(&output), 2);
-    assert!(said(&output).contains("yaml:8:"), "{}", said(&output));
-    assert!(said(&output).contains("hint:"), "{}", said(&output));
+    assert!(printed(&output).contains("yaml:8:"), "{}", printed(&output));
+    assert!(printed(&output).contains("hint:"), "{}", printed(&output));
     let cut = file(GOOD.strip_suffix("...\n").unwrap());
-    let output = run(&world, &["apply"], Some(&cut)).await;
+    let output = ctl(&world, &["apply"], Some(&cut)).await;
     assert_eq!(code(&output), 2);
-    assert!(said(&output).contains("may have been cut"), "{}", said(&output));
+    assert!(printed(&output).contains("may have been cut"), "{}", printed(&output));
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn a_file_is_applied_once_and_a_racing_one_is_told() {
+async fn a_file_is_applied_once_and_a_concurrent_one_is_refused() {
     let world = world().await;
     let good = file(GOOD);
-    let output = run(&world, &["apply", "--by", "anna"], Some(&good)).await;
-    assert_eq!((code(&output), said(&output).contains("accepted as version 1")), (0, true));
-    let output = run(&world, &["diff"], Some(&good)).await;
-    assert!(said(&output).contains("nothing changes"), "{}", said(&output));
+    let output = ctl(&world, &["apply", "--by", "anna"], Some(&good)).await;
+    assert_eq!((code(&output), printed(&output).contains("accepted as version 1")), (0, true));
+    let output = ctl(&world, &["diff"], Some(&good)).await;
+    assert!(printed(&output).contains("nothing changes"), "{}", printed(&output));
     let other = file(&GOOD.replace("rate: 10", "rate: 20"));
-    let output = run(&world, &["apply", "--base", "0", "--by", "bela"], Some(&other)).await;
+    let output = ctl(&world, &["apply", "--base", "0", "--by", "bela"], Some(&other)).await;
     assert_eq!(code(&output), 3);
     let text = "conflict: made from version 0, current is 1, by anna";
-    assert!(said(&output).contains(text), "{}", said(&output));
+    assert!(printed(&output).contains(text), "{}", printed(&output));
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn an_append_whose_answer_is_lost_is_found_again() {
+async fn an_append_with_a_lost_answer_is_applied_once() {
     let world = world().await;
     world.control(Control::Log(LogMode::Lose)).unwrap();
-    let output = run(&world, &["apply"], Some(&file(GOOD))).await;
-    assert_eq!(code(&output), 0, "{}", said(&output));
+    let output = ctl(&world, &["apply"], Some(&file(GOOD))).await;
+    assert_eq!(code(&output), 0, "{}", printed(&output));
     assert_eq!(world.log.appends().0, 1);
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn without_the_log_nothing_is_said_to_be_accepted() {
+async fn without_the_log_nothing_is_reported_as_accepted() {
     let world = world().await;
     world.control(Control::Log(LogMode::Away)).unwrap();
-    let output = run(&world, &["apply"], Some(&file(GOOD))).await;
-    assert_eq!(code(&output), 5, "{}", said(&output));
-    assert!(!said(&output).contains("accepted"));
+    let output = ctl(&world, &["apply"], Some(&file(GOOD))).await;
+    assert_eq!(code(&output), 5, "{}", printed(&output));
+    assert!(!printed(&output).contains("accepted"));
 }
--- a/crates/ctl/tests/job.rs
+++ b/crates/ctl/tests/job.rs
@@ -1,4 +1,4 @@
-//! `myrtlectl job` against a front host and the stand-in of the platform's store.
+//! Runs `myrtlectl job` against a front host and a stand-in of the platform's store.
 
 use std::net::SocketAddr;
 use std::process::{Command, Output};
@@ -22,8 +22,8 @@
     listener.local_addr().unwrap().port()
 }
 
-/// Starts a host on ports that were free; false if one of them has been taken since.
-async fn host(store: SocketAddr) -> bool {
+/// Starts a host on free ports; false if another process bound one of them in the meantime.
+async fn start_host(store: SocketAddr) -> bool {
     let ports = [free_port().await, free_port().await, free_port().await];
     let text = format!(
         "name: h\ndata_centre: d\ndata_centres: [d]\nclients: 127.0.0.1:{}\n\
@@ -36,21 +36,21 @@
     let settings = Settings::load(&path).unwrap();
     std::fs::remove_file(&path).unwrap();
     let running = tokio::spawn(myrtle_front::run(settings, path));
-    // It binds its ports first of all, and ends if it can't.
+    // A host binds its ports before anything else, and ends if that fails.
     sleep(Duration::from_millis(200)).await;
     !running.is_finished()
 }
 
-/// A store, a host that owns its only cell, and one accepted job that no worker can run.
-async fn site() -> SocketAddr {
+/// Starts a store and a host that owns the only cell, and submits one job that no worker can run.
+async fn start_site() -> SocketAddr {
     let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
     let at = listener.local_addr().unwrap();
     let store = Arc::new(Store::default());
-    tokio::spawn(serve(listener, move |ask| {
+    tokio::spawn(serve(listener, move |ctl| {
         let store = store.clone();
-        async move { store.handle(ask).await }
+        async move { store.handle(ctl).await }
     }));
-    while !host(at).await {}
+    while !start_host(at).await {}
     let steps = vec![StepSpec { count: 2, estimate: 100, ..StepSpec::default() }];
     let spec = JobSpec { body: "b".into(), steps, repeat: None };
     let mut body = BytesMut::new();
@@ -61,29 +61,29 @@
     at
 }
 
-async fn ask(store: SocketAddr, words: &[&str]) -> Output {
+async fn ctl(store: SocketAddr, args: &[&str]) -> Output {
     let mut command = Command::new(env!("CARGO_BIN_EXE_myrtlectl"));
-    command.args(words).arg("job").arg(store.to_string());
+    command.args(args).arg("job").arg(store.to_string());
     command.arg(JOB);
     tokio::task::spawn_blocking(move || command.output().unwrap()).await.unwrap()
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_jobs_waiting_tasks_are_told() {
-    let store = site().await;
-    let told = async {
+async fn waiting_tasks_of_a_job_are_listed() {
+    let store = start_site().await;
+    let listed = async {
         loop {
-            let output = ask(store, &[]).await;
+            let output = ctl(store, &[]).await;
             if output.status.success() {
                 return String::from_utf8_lossy(&output.stdout).into_owned();
             }
             sleep(Duration::from_millis(100)).await;
         }
     };
-    let text = timeout(Duration::from_secs(30), told).await.unwrap();
+    let text = timeout(Duration::from_secs(30), listed).await.unwrap();
     assert!(text.contains("owner h-") && text.contains("queued"), "{text}");
     assert!(text.contains(&format!("{JOB}.0.0.1: waits")), "{text}");
-    let output = ask(store, &["--json"]).await;
+    let output = ctl(store, &["--json"]).await;
     let value: serde_json::Value = serde_json::from_slice(&output.stdout).unwrap();
     assert_eq!(value["cell"], 0);
 }
--- a/crates/daemon/src/lib.rs
+++ b/crates/daemon/src/lib.rs
@@ -1,4 +1,4 @@
-//! What the project's daemons share: arguments, settings, exit codes, the way into the host list.
+//! Start-up of daemons: arguments, settings, exit codes and registration in the host list.
 
 use std::net::SocketAddr;
 use std::path::PathBuf;
@@ -12,14 +12,14 @@
 use myrtle_config::{Announce, Settings};
 use myrtle_platform::{Host, HostList, Role};
 
-/// The settings are wrong; see docs/OPERATING.md for all exit codes.
-const BAD_SETTINGS: u8 = 2;
+/// Exit code for invalid settings; docs/OPERATING.md lists all exit codes.
+const INVALID_SETTINGS: u8 = 2;
 
-/// The process cannot listen where the settings say.
-const NO_PORT: u8 = 3;
+/// Exit code for an address in the settings that cannot be bound.
+const LISTEN_FAILED: u8 = 3;
 
-/// The pause before the host list is asked again.
-const PAUSE: Duration = Duration::from_millis(500);
+/// Delay before the host list is called again after a failure.
+const RETRY_DELAY: Duration = Duration::from_millis(500);
 
 /// A daemon of myrtlepost; it takes everything else from its settings.
 #[derive(Debug, FromArgs)]
@@ -32,14 +32,14 @@
     check: bool,
 }
 
-/// Sets up logs and reads the settings; a process that may not go on gets its exit code.
+/// Sets up logging and loads the settings; returns an exit code if the process is to end here.
 pub fn prepare() -> Result<Settings, ExitCode> {
     let level = env_logger::Env::default().default_filter_or("info,tarpc=warn");
     env_logger::Builder::from_env(level).init();
     let args: Args = argh::from_env();
     let settings = Settings::load(&args.settings).map_err(|faults| {
         faults.iter().for_each(|f| eprintln!("error: {f}"));
-        ExitCode::from(BAD_SETTINGS)
+        ExitCode::from(INVALID_SETTINGS)
     })?;
     if args.check {
         println!("the settings are fine");
@@ -48,13 +48,13 @@
     Ok(settings)
 }
 
-/// Says that the process cannot listen, and gives its exit code.
+/// Prints why an address could not be bound and returns the exit code.
 pub fn cannot_listen(e: &std::io::Error) -> ExitCode {
     eprintln!("error: cannot listen: {e}\n  hint: use a free address of this host");
-    ExitCode::from(NO_PORT)
+    ExitCode::from(LISTEN_FAILED)
 }
 
-/// Enters the process into the host list if its settings say so; tries until the list takes it.
+/// Registers the process in the host list if its settings ask for it, retrying until it succeeds.
 pub async fn announce(
     list: &HostList,
     settings: &Settings,
@@ -77,7 +77,7 @@
         leaving: false,
     };
     while let Err(e) = list.enter(&host).await {
-        warn!("{role:?}: the host list does not take this host: {e}");
-        tokio::time::sleep(PAUSE).await;
+        warn!("{role:?}: cannot register in the host list, retrying: {e}");
+        tokio::time::sleep(RETRY_DELAY).await;
     }
 }
--- a/crates/sched/src/admin.rs
+++ b/crates/sched/src/admin.rs
@@ -1,4 +1,4 @@
-//! What operators ask over HTTP.
+//! HTTP interface for operators.
 
 use std::sync::Arc;
 
@@ -13,7 +13,7 @@
 use crate::names::task_id;
 use crate::tables::Tables;
 
-/// How a sched is, for operators.
+/// Status of a sched.
 #[derive(Debug, Serialize)]
 struct Status {
     name: String,
@@ -28,28 +28,28 @@
     suspects: Vec<String>,
 }
 
-/// Answers one call.
-pub async fn handle(tables: Arc<Tables>, ask: Ask) -> Answer {
-    match ask.path.as_str() {
+/// Answers one request.
+pub async fn handle(tables: Arc<Tables>, request: Ask) -> Answer {
+    match request.path.as_str() {
         "/healthz" => text(200, "ok\n"),
-        "/readyz" => ready(&tables),
+        "/readyz" => readiness(&tables),
         "/metrics" => metrics(&tables),
-        "/events" => events(&tables, &ask),
+        "/events" => events(&tables, &request),
         "/status" => json(&status(&tables)),
         "/config" => json(&tables.config(|c| c.scopes.clone())),
         "/jobs" => json(&jobs(&tables)),
         "/workers" => json(&workers(&tables)),
         "/usage" => json(&usage(&tables)),
-        "/why" => why(&tables, ask.param("task").unwrap_or_default()),
-        "/cancel" => cancel(&tables, &ask).await,
-        "/drain" => drain(&tables, &ask).await,
-        "/evict" => evict(&tables, &ask).await,
-        "/release" => release(&tables, &ask).await,
+        "/why" => why(&tables, request.param("task").unwrap_or_default()),
+        "/cancel" => cancel(&tables, &request).await,
+        "/drain" => drain(&tables, &request).await,
+        "/evict" => evict(&tables, &request).await,
+        "/release" => release(&tables, &request).await,
         _ => text(404, "see docs/OPERATING.md for what can be asked\n"),
     }
 }
 
-fn ready(tables: &Tables) -> Answer {
+fn readiness(tables: &Tables) -> Answer {
     match tables.config(|c| c.version) {
         0 => text(503, "no configuration yet\n"),
         _ => text(200, "ready\n"),
@@ -58,25 +58,25 @@
 
 fn metrics(tables: &Tables) -> Answer {
     let totals = tables.cell(|c| c.cell.totals());
-    let level = |label, n: usize| tables.meter.level("myrtle_tasks", label, n as i64);
+    let level = |label, n: usize| tables.metrics.level("myrtle_tasks", label, n as i64);
     level("pending", totals.pending);
     level("claimed", totals.claimed);
     level("running", totals.running);
     level("stopping", totals.stopping);
-    tables.meter.level("myrtle_log_age_ms", "cell", tables.age().0.min(1 << 40) as i64);
-    let body = tables.meter.text().into_bytes();
+    tables.metrics.level("myrtle_log_age_ms", "cell", tables.log_age().0.min(1 << 40) as i64);
+    let body = tables.metrics.text().into_bytes();
     answer(200, "text/plain; version=0.0.4", body)
 }
 
-fn events(tables: &Tables, ask: &Ask) -> Answer {
-    let since = ask.param("since").and_then(|s| s.parse().ok()).unwrap_or_default();
-    json(&tables.ring.since(Stamp(since)))
+fn events(tables: &Tables, request: &Ask) -> Answer {
+    let since = request.param("since").and_then(|s| s.parse().ok()).unwrap_or_default();
+    json(&tables.events.since(Stamp(since)))
 }
 
 fn status(tables: &Tables) -> Status {
     let config = tables.config(|c| c.version);
-    let writer = tables.lit() && tables.mine("writer");
-    let log_age_ms = tables.age().0;
+    let writer = tables.online() && tables.elected("writer");
+    let log_age_ms = tables.log_age().0;
     tables.cell(|c| Status {
         name: tables.name().into(),
         role: "sched",
@@ -93,10 +93,10 @@
 
 fn jobs(tables: &Tables) -> Vec<Value> {
     tables.cell(|c| {
-        let job = |(no, job): (&u32, &myrtle_cell::Job)| {
+        let job = |(number, job): (&u32, &myrtle_cell::Job)| {
             value!({
                 "job": job.name,
-                "number": no,
+                "number": number,
                 "party": job.spec.party,
                 "class": job.spec.class,
                 "data_centre": tables.centre(),
@@ -136,7 +136,7 @@
         })
     };
     let used = tables.cell(|c| c.cell.usage.clone());
-    let line = |((party, class), used): (&(String, String), &myrtle_cell::Usage)| {
+    let row = |((party, class), used): (&(String, String), &myrtle_cell::Usage)| {
         let price = price(class);
         value!({
             "party": party,
@@ -148,10 +148,10 @@
             "due": price as f64 * used.busy.0 as f64 / 1000.0,
         })
     };
-    used.iter().map(line).collect()
+    used.iter().map(row).collect()
 }
 
-/// Finds a task by `JOB.INDEX`, with the job's name or number, with or without the data centre.
+/// Finds a task by `JOB.INDEX`, with the job's name or number, or by its full name for workers.
 fn find(tables: &Tables, name: &str) -> Option<TaskId> {
     if let Some(id) = task_id(tables.centre(), name) {
         return Some(id);
@@ -160,8 +160,8 @@
     let index = index.parse().ok()?;
     tables.cell(|c| {
         let named = c.cell.job_named(job).map(|j| j.0);
-        let no = named.or_else(|| job.parse().ok())?;
-        let id = TaskId::new(no, index);
+        let number = named.or_else(|| job.parse().ok())?;
+        let id = TaskId::new(number, index);
         c.cell.tasks.contains_key(&id).then_some(id)
     })
 }
@@ -173,7 +173,7 @@
     tables.cell(|c| {
         let Some(task) = c.cell.tasks.get(&id) else { return text(404, "no such task\n") };
         let job = &c.cell.jobs[&id.job];
-        let worker = task.state.worker().map(|no| c.cell.workers[no as usize].name.clone());
+        let worker = task.state.worker().map(|number| c.cell.workers[number as usize].name.clone());
         json(&value!({
             "task": format!("{}/{id}", tables.centre()),
             "job": job.name,
@@ -183,7 +183,7 @@
             "failures": task.failures,
             "evictions": task.evictions,
             "checkpoint": task.checkpoint,
-            "reason": reason(&c.cell, id),
+            "reason": explain(&c.cell, id),
         }))
     })
 }
@@ -201,8 +201,8 @@
     })
 }
 
-/// Why a task stands where it stands.
-fn reason(cell: &myrtle_cell::Cell, id: TaskId) -> String {
+/// Explains why a task is in its state.
+fn explain(cell: &myrtle_cell::Cell, id: TaskId) -> String {
     let (task, job) = (&cell.tasks[&id], &cell.jobs[&id.job]);
     if task.state != State::Pending {
         return task.state.to_string();
@@ -219,9 +219,9 @@
     }
 }
 
-/// Cancels jobs and answers when all their tasks are over.
-async fn cancel(tables: &Tables, ask: &Ask) -> Answer {
-    let Ok(names) = serde_json::from_slice::<Vec<String>>(&ask.body) else {
+/// Cancels jobs and answers once all their tasks are over, or after 10 s.
+async fn cancel(tables: &Tables, request: &Ask) -> Answer {
+    let Ok(names) = serde_json::from_slice::<Vec<String>>(&request.body) else {
         return text(400, "send a JSON list of jobs\n");
     };
     let jobs: Vec<u32> = tables.cell(|c| {
@@ -235,9 +235,9 @@
     if tables.propose(vec![Op::Cancel { jobs: jobs.clone() }]).await == Proposal::Away {
         return text(503, "the log is away; whether it was cancelled is unknown, ask again\n");
     }
-    tables.ring.add("task", format!("{count} jobs cancelled"));
+    tables.events.add("task", format!("{count} jobs cancelled"));
     let open = |c: &mut crate::tables::CellTable| {
-        let open = jobs.iter().filter_map(|no| c.cell.jobs.get(no)).map(|j| j.open);
+        let open = jobs.iter().filter_map(|number| c.cell.jobs.get(number)).map(|j| j.open);
         open.sum::<u32>()
     };
     let mut changed = tables.changed.subscribe();
@@ -251,25 +251,25 @@
     json(&value!({"cancelled": count, "unknown": names.len() - count, "stopping": stopping}))
 }
 
-async fn drain(tables: &Tables, ask: &Ask) -> Answer {
-    let name = ask.param("worker").unwrap_or_default();
+async fn drain(tables: &Tables, request: &Ask) -> Answer {
+    let name = request.param("worker").unwrap_or_default();
     let Some(worker) = tables.cell(|c| c.cell.worker_named(name)) else {
         return text(404, format!("no worker '{name}' here\n"));
     };
-    let on = ask.param("on") != Some("false");
+    let on = request.param("on") != Some("false");
     verdict(tables, Op::Drain { worker, on }, format!("worker {name} leaving: {on}")).await
 }
 
-async fn evict(tables: &Tables, ask: &Ask) -> Answer {
-    let name = ask.param("task").unwrap_or_default();
+async fn evict(tables: &Tables, request: &Ask) -> Answer {
+    let name = request.param("task").unwrap_or_default();
     let op = find(tables, name)
         .and_then(|id| tables.cell(|c| crate::reports::evict(&c.cell, id, Why::Operator)));
     let Some(op) = op else { return text(404, format!("'{name}' does not run here\n")) };
     verdict(tables, op, format!("task {name} evicted by an operator")).await
 }
 
-async fn release(tables: &Tables, ask: &Ask) -> Answer {
-    let name = ask.param("task").unwrap_or_default();
+async fn release(tables: &Tables, request: &Ask) -> Answer {
+    let name = request.param("task").unwrap_or_default();
     let Some(task) = find(tables, name) else { return text(404, format!("no task '{name}'\n")) };
     verdict(tables, Op::Release { task }, format!("task {name} released by an operator")).await
 }
@@ -278,7 +278,7 @@
     match tables.propose(vec![op]).await {
         Proposal::Folded(verdicts) => match verdicts.first() {
             Some(Ok(())) => {
-                tables.ring.add("task", event);
+                tables.events.add("task", event);
                 json(&value!({"accepted": true}))
             }
             Some(Err(deny)) => text(409, format!("turned down: {deny}\n")),
--- a/crates/sched/src/balance.rs
+++ b/crates/sched/src/balance.rs
@@ -1,8 +1,8 @@
-//! What follows from a worker's measurements: pure but for the policy's own memory.
+//! Derives commands and throttles from a worker's measurements; changes only the policy's state.
 //!
-//! A service beyond its target makes tasks beside it give way, throttled first and evicted last.
-//! Tasks that use more than they were given are declared larger for their next attempt, and the
-//! cheapest goes before the worker runs out.
+//! If a service misses its target, tasks beside it are throttled first and evicted last. Jobs whose
+//! tasks use more than they were given are resized for the next attempt, and the cheapest task is
+//! evicted before the worker runs out of room.
 
 use myrtle_base::{Millis, Room};
 use myrtle_cell::{Cell, Job, Op, State, Task, TaskId, Why};
@@ -13,75 +13,75 @@
 use crate::names::{task_id, task_name};
 use crate::reports::evict;
 
-/// The part of a worker that may be used before a task has to go.
-const FULL: f64 = 0.95;
+/// Share of a worker's room in use above which a task is evicted.
+const MAX_USE: f64 = 0.95;
 
-/// Measured use above this multiple of what was given corrects the job's room.
-const GROWN: f64 = 1.2;
+/// Multiple of a job's room above which the measured use of a task resizes the job.
+const GROWTH_LIMIT: f64 = 1.2;
 
-/// The number of the one service that the policy tells apart today.
+/// Number of the service in the interference model, which treats all services as one.
 const SERVICE: u16 = 0;
 
-/// What the policy remembers.
+/// State of the placement policy.
 #[derive(Debug)]
 pub struct Policy {
-    /// Places tasks and learns what they cost.
+    /// Places tasks with an interference model learned from measurements.
     pub placer: Learned,
-    /// The numbers of kinds.
+    /// Numbers of kinds of tasks.
     pub kinds: Kinds,
 }
 
-/// What to do after a measurement.
+/// What a measurement requires.
 #[derive(Debug, Default, PartialEq)]
-pub struct Measures {
+pub struct Adjustment {
     /// Commands for the log.
     pub ops: Vec<Op>,
-    /// Tasks to slow down or to let run freely.
+    /// A task to throttle or to run at full speed again.
     pub throttle: Option<Throttle>,
 }
 
-/// Weighs a measurement of worker `no`; `tail` is its service's against the target.
-pub fn weigh(
+/// Derives what a measurement of worker `number` requires; `tail` is tail latency over target.
+pub fn adjust(
     cell: &Cell,
     centre: &str,
-    no: u32,
+    number: u32,
     usage: &UsageReport,
     tail: Option<f64>,
     policy: &mut Policy,
     relief: &mut Relief,
-) -> Measures {
-    let mut measures = Measures { ops: grown(cell, centre, usage), throttle: None };
-    measures.ops.extend(pressed(cell, centre, no, usage));
-    let Some(tail) = tail else { return measures };
-    let room = cell.workers[no as usize].room;
-    let part = |task: &Task| f64::from(task.given.cpu) / f64::from(room.cpu.max(1));
+) -> Adjustment {
+    let mut result = Adjustment { ops: resize_ops(cell, centre, usage), throttle: None };
+    result.ops.extend(pressure_op(cell, centre, number, usage));
+    let Some(tail) = tail else { return result };
+    let room = cell.workers[number as usize].room;
+    let share = |task: &Task| f64::from(task.given.cpu) / f64::from(room.cpu.max(1));
     let mut sample = Sample { service: SERVICE, parts: Vec::new(), tail };
-    for (_, task, job) in running(cell, no) {
-        sample.parts.push((policy.kinds.number(&job.spec.kind), part(task)));
+    for (_, task, job) in running(cell, number) {
+        sample.parts.push((policy.kinds.number(&job.spec.kind), share(task)));
     }
     policy.placer.learn(&sample);
     let mut neighbours = Vec::new();
-    for (id, task, job) in running(cell, no) {
+    for (id, task, job) in running(cell, number) {
         let kind = policy.kinds.number(&job.spec.kind);
-        let harm = policy.placer.costs().of(SERVICE, kind) * part(task);
-        neighbours.push(neighbour(cell, id, task, job, harm));
+        let interference = policy.placer.costs().of(SERVICE, kind) * share(task);
+        neighbours.push(neighbour(cell, id, task, job, interference));
     }
     match relief.seen(tail, &neighbours) {
-        Some(Act::Throttle(id, percent)) => measures.throttle = throttle(cell, centre, id, percent),
-        Some(Act::Free(id)) => measures.throttle = throttle(cell, centre, id, 100),
-        Some(Act::Evict(id)) => measures.ops.extend(evict(cell, unpack(id), Why::Interference)),
+        Some(Act::Throttle(id, percent)) => result.throttle = throttle(cell, centre, id, percent),
+        Some(Act::Free(id)) => result.throttle = throttle(cell, centre, id, 100),
+        Some(Act::Evict(id)) => result.ops.extend(evict(cell, unpack(id), Why::Interference)),
         None => {}
     }
-    measures
+    result
 }
 
-/// Jobs whose tasks use more than they were given.
-fn grown(cell: &Cell, centre: &str, usage: &UsageReport) -> Vec<Op> {
+/// Returns resizes of jobs whose tasks use more than they were given.
+fn resize_ops(cell: &Cell, centre: &str, usage: &UsageReport) -> Vec<Op> {
     let mut ops = Vec::new();
     for used in &usage.tasks {
         let Some(id) = task_id(centre, &used.task) else { continue };
         let Some(job) = cell.jobs.get(&id.job) else { continue };
-        let beyond = |a: u32, b: u32| f64::from(a) > f64::from(b) * GROWN;
+        let beyond = |a: u32, b: u32| f64::from(a) > f64::from(b) * GROWTH_LIMIT;
         let larger = beyond(used.room.cpu, job.room.cpu) || beyond(used.room.mem, job.room.mem);
         let known = ops.iter().any(|op| matches!(op, Op::Resize { job, .. } if *job == id.job));
         if larger && !known && used.room.fits(&cell.largest()) {
@@ -91,15 +91,15 @@
     ops
 }
 
-/// The cheapest task of a worker that is about to run out, unless one is going already.
-fn pressed(cell: &Cell, centre: &str, no: u32, usage: &UsageReport) -> Option<Op> {
+/// Evicts the cheapest task of a worker that is about to run out of room, unless one is stopping.
+fn pressure_op(cell: &Cell, centre: &str, number: u32, usage: &UsageReport) -> Option<Op> {
     let used = usage.tasks.iter().fold(Room::default(), |sum, t| sum + t.room);
-    let going = cell.tasks_on(no).any(|(_, t, _)| matches!(t.state, State::Stopping(..)));
-    if used.share(&cell.workers[no as usize].room) <= FULL || going {
+    let stopping = cell.tasks_on(number).any(|(_, t, _)| matches!(t.state, State::Stopping(..)));
+    if used.share(&cell.workers[number as usize].room) <= MAX_USE || stopping {
         return None;
     }
     let reported = usage.tasks.iter().filter_map(|t| task_id(centre, &t.task));
-    let there = reported.filter(|id| cell.workers[no as usize].tasks.contains(id));
+    let there = reported.filter(|id| cell.workers[number as usize].tasks.contains(id));
     let cheapest = there.min_by_key(|id| {
         let job = &cell.jobs[&id.job];
         (job.spec.watcher(), job.spec.price, std::cmp::Reverse(cell.tasks[id].since))
@@ -107,16 +107,16 @@
     evict(cell, cheapest, Why::Pressure)
 }
 
-fn running(cell: &Cell, no: u32) -> impl Iterator<Item = (TaskId, &Task, &Job)> {
-    cell.tasks_on(no).filter(|(_, t, _)| matches!(t.state, State::Running(_)))
+fn running(cell: &Cell, number: u32) -> impl Iterator<Item = (TaskId, &Task, &Job)> {
+    cell.tasks_on(number).filter(|(_, t, _)| matches!(t.state, State::Running(_)))
 }
 
-fn neighbour(cell: &Cell, id: TaskId, task: &Task, job: &Job, harm: f64) -> Neighbour {
+fn neighbour(cell: &Cell, id: TaskId, task: &Task, job: &Job, interference: f64) -> Neighbour {
     Neighbour {
         id: pack(id),
         price: job.spec.price,
-        harm,
-        // Checkpoints are frequent: at most the run so far is lost.
+        harm: interference,
+        // Frequent checkpoints limit the loss, here to 60 s, even for a longer run.
         lost: cell.now.since(task.since).min(Millis(60_000)),
         watcher: job.spec.watcher(),
     }
--- a/crates/sched/src/claims.rs
+++ b/crates/sched/src/claims.rs
@@ -1,4 +1,4 @@
-//! Which pending task goes to which worker: builds the fleet from the fold and asks a placer.
+//! Chooses a worker for each pending task: builds the fleet from the fold and queries a placer.
 
 use std::collections::BTreeMap;
 
@@ -6,44 +6,44 @@
 use myrtle_cell::{Cell, Health, Job, Op, State, TaskId, Why};
 use myrtle_place::{Fleet, Machine, Placer, Want};
 
-/// Claims proposed at a time.
-const MOST: usize = 256;
+/// Most claims proposed at once.
+const MAX_CLAIMS: usize = 256;
 
-/// Pending tasks looked at before giving up; the rest does not fit either.
-const MISSES: usize = 32;
+/// Number of tasks that do not fit after which a round ends, as the rest is unlikely to fit.
+const MAX_MISSES: usize = 32;
 
-/// A dearer task displaces only tasks of classes at most this part of its price.
-const DEARER: f64 = 0.5;
+/// A task preempts only tasks whose price is at most this share of its own.
+const PREEMPT_RATIO: f64 = 0.5;
 
-/// Numbers for the kinds of tasks.
+/// Assigns numbers to kinds of tasks.
 #[derive(Debug, Default)]
 pub struct Kinds {
     numbers: BTreeMap<String, u16>,
 }
 
 impl Kinds {
-    /// The number of a kind, the same for the life of this host.
+    /// Returns the number of a kind, which stays the same while the process runs.
     pub fn number(&mut self, kind: &str) -> u16 {
         let next = self.numbers.len() as u16;
         *self.numbers.entry(kind.into()).or_insert(next)
     }
 }
 
-/// The fleet as the fold has it; `tails` are measured tails by worker.
+/// Builds the fleet from the fold; `tails` are tail latencies by worker, relative to the target.
 pub fn fleet(cell: &Cell, kinds: &mut Kinds, tails: &BTreeMap<u32, f64>) -> Fleet {
     let mut racks = BTreeMap::new();
     let mut machines = Vec::with_capacity(cell.workers.len());
-    for (no, worker) in cell.workers.iter().enumerate() {
+    for (number, worker) in cell.workers.iter().enumerate() {
         let next = racks.len() as u32;
         let mut machine = Machine {
             room: worker.room,
             free: worker.room,
             rack: *racks.entry(&worker.rack).or_insert(next),
-            tail: tails.get(&(no as u32)).copied().unwrap_or_default(),
+            tail: tails.get(&(number as u32)).copied().unwrap_or_default(),
             up: worker.health == Health::Up && worker.takes(cell.now),
             ..Machine::default()
         };
-        for (_, task, job) in cell.tasks_on(no as u32) {
+        for (_, task, job) in cell.tasks_on(number as u32) {
             machine.add(&task.given, kinds.number(&job.spec.kind));
         }
         machines.push(machine);
@@ -51,7 +51,7 @@
     Fleet { machines }
 }
 
-/// Claims for pending tasks, the dearest first.
+/// Returns claims for pending tasks, the dearest first, and a preemption for the first misfit.
 pub fn claims<P: Placer>(
     cell: &Cell,
     fleet: &mut Fleet,
@@ -61,7 +61,7 @@
     let mut ops = Vec::new();
     let mut misses = 0;
     for (id, task, job) in cell.waiting() {
-        if ops.len() >= MOST || misses >= MISSES {
+        if ops.len() >= MAX_CLAIMS || misses >= MAX_MISSES {
             break;
         }
         if cell.now < task.wait {
@@ -82,7 +82,7 @@
             None => {
                 misses += 1;
                 if misses == 1 {
-                    ops.extend(displace(cell, job));
+                    ops.extend(preempt(cell, job));
                 }
             }
         }
@@ -90,26 +90,28 @@
     ops
 }
 
-/// Stops the cheapest tasks of one worker so that a much dearer one fits.
-fn displace(cell: &Cell, job: &Job) -> Vec<Op> {
-    let under_way = cell.tasks.values().any(|t| matches!(t.state, State::Stopping(_, Why::Dearer)));
-    if under_way {
+/// Makes room for the job on the worker where that costs least, unless a preemption is under way.
+fn preempt(cell: &Cell, job: &Job) -> Vec<Op> {
+    let preempting =
+        cell.tasks.values().any(|t| matches!(t.state, State::Stopping(_, Why::Dearer)));
+    if preempting {
         return Vec::new();
     }
-    let plans = (0..cell.workers.len() as u32).filter_map(|no| plan(cell, no, job));
-    let cheapest = plans.min_by_key(|(price, _)| *price);
+    let candidates =
+        (0..cell.workers.len() as u32).filter_map(|number| preemption(cell, number, job));
+    let cheapest = candidates.min_by_key(|(price, _)| *price);
     cheapest.map(|(_, ops)| ops).unwrap_or_default()
 }
 
-/// The price and the stops that make room for the job on one worker.
-fn plan(cell: &Cell, no: u32, job: &Job) -> Option<(u64, Vec<Op>)> {
-    let worker = &cell.workers[no as usize];
+/// Returns the price and the stops that make room for the job on one worker, if it can be made.
+fn preemption(cell: &Cell, number: u32, job: &Job) -> Option<(u64, Vec<Op>)> {
+    let worker = &cell.workers[number as usize];
     if worker.health != Health::Up || !worker.takes(cell.now) || !job.room.fits(&worker.room) {
         return None;
     }
-    let limit = (f64::from(job.spec.price) * DEARER) as u32;
+    let limit = (f64::from(job.spec.price) * PREEMPT_RATIO) as u32;
     let mut cheap: Vec<(u32, TaskId, u16, Room)> = cell
-        .tasks_on(no)
+        .tasks_on(number)
         .filter(|(_, t, j)| j.spec.price <= limit && matches!(t.state, State::Running(_)))
         .map(|(id, t, j)| (j.spec.price, id, t.attempt, t.given))
         .collect();
--- a/crates/sched/src/commit.rs
+++ b/crates/sched/src/commit.rs
@@ -1,4 +1,4 @@
-//! Group commit: commands of many callers go into the log as one record.
+//! Group commit: appends the commands of many callers to the log as one record.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -14,35 +14,35 @@
 
 use crate::tables::Tables;
 
-/// The least time between two appends of this writer.
-const GAP: Duration = Duration::from_millis(250);
+/// Minimum time between two appends of this writer.
+const APPEND_INTERVAL: Duration = Duration::from_millis(250);
 
-/// How long a first command waits for company.
-const LINGER: Duration = Duration::from_millis(15);
+/// How long a first command waits for others to share its record.
+const BATCH_DELAY: Duration = Duration::from_millis(15);
 
-/// Commands in one record.
+/// Number of commands at which a record takes no further request.
 const MAX_OPS: usize = 512;
 
-/// How long after its making a batch may still take effect, by the log's clock.
-const EXPIRES: Millis = Millis(20_000);
+/// How long a batch may take effect after it was created, by the log's clock.
+const BATCH_TTL: Millis = Millis(20_000);
 
-/// How long an append's record may take to be read back before it is appended again.
-const READ_BACK: Duration = Duration::from_millis(1_500);
+/// How long to wait for a batch to be read back before it is appended again.
+const READ_BACK_TIMEOUT: Duration = Duration::from_millis(1_500);
 
-/// How long a caller waits for a verdict.
-const PATIENCE: Duration = Duration::from_secs(4);
+/// How long a caller waits for its verdicts.
+const VERDICT_TIMEOUT: Duration = Duration::from_secs(4);
 
-/// Commands with whoever waits for their verdicts.
+/// Commands of one caller.
 #[derive(Debug)]
-pub struct Order {
+pub struct CommitRequest {
     /// The commands.
     pub ops: Vec<Op>,
-    /// Where the verdicts go.
+    /// Receives the verdicts.
     pub reply: oneshot::Sender<Verdicts>,
 }
 
 impl Tables {
-    /// Puts commands into the log by way of the cell's writer and waits for their verdicts.
+    /// Commits commands through the cell's writer, or from here if it does not answer.
     pub async fn propose(&self, ops: Vec<Op>) -> Proposal {
         if ops.is_empty() {
             return Proposal::Folded(Vec::new());
@@ -52,98 +52,101 @@
         let links = self.peer_links();
         let link = links.into_iter().find(|(name, _)| Some(name.as_str()) == writer);
         if let Some((_, link)) = link {
-            let (stamp, ops) = (self.ring.clock().tick(), ops.clone());
+            let (stamp, ops) = (self.events.clock().tick(), ops.clone());
             let call = |c: SchedPeerClient, x| async move { c.propose(x, stamp, ops).await };
-            if let Some(proposal) = link.call(PATIENCE, call).await {
+            if let Some(proposal) = link.call(VERDICT_TIMEOUT, call).await {
                 return proposal;
             }
         }
         self.commit(ops).await
     }
 
-    /// Puts commands into the log from here and waits for their verdicts.
+    /// Appends commands to the log from this host and waits for their verdicts.
     pub async fn commit(&self, ops: Vec<Op>) -> Proposal {
         let (reply, verdicts) = oneshot::channel();
-        if self.orders.try_send(Order { ops, reply }).is_err() {
+        if self.commits.try_send(CommitRequest { ops, reply }).is_err() {
             return Proposal::Away;
         }
-        match timeout(PATIENCE, verdicts).await {
+        match timeout(VERDICT_TIMEOUT, verdicts).await {
             Ok(Ok(verdicts)) => Proposal::Folded(verdicts),
             _ => Proposal::Away,
         }
     }
 }
 
-/// Appends what is ordered until all senders are gone.
-pub async fn run(tables: Arc<Tables>, mut orders: mpsc::Receiver<Order>) {
+/// Appends batches of requests until all senders are dropped.
+pub async fn run(tables: Arc<Tables>, mut requests: mpsc::Receiver<CommitRequest>) {
     let mut seq = 0;
     let mut next = Instant::now();
-    while let Some(first) = orders.recv().await {
-        // A batch for nobody would hold up those that somebody waits for.
+    while let Some(first) = requests.recv().await {
+        // A batch whose callers have timed out would delay the following ones.
         if first.reply.is_closed() {
             continue;
         }
-        sleep_until(next.max(Instant::now() + LINGER)).await;
-        let waiting = gather(first, &mut orders);
+        sleep_until(next.max(Instant::now() + BATCH_DELAY)).await;
+        let batch = collect_batch(first, &mut requests);
         seq += 1;
-        next = Instant::now() + GAP;
-        append(&tables, seq, waiting).await;
+        next = Instant::now() + APPEND_INTERVAL;
+        append(&tables, seq, batch).await;
     }
 }
 
-fn gather(first: Order, orders: &mut mpsc::Receiver<Order>) -> Vec<Order> {
+fn collect_batch(
+    first: CommitRequest,
+    requests: &mut mpsc::Receiver<CommitRequest>,
+) -> Vec<CommitRequest> {
     let mut count = first.ops.len();
-    let mut waiting = vec![first];
+    let mut batch = vec![first];
     while count < MAX_OPS {
-        let Ok(order) = orders.try_recv() else { break };
-        // Nobody waits any more for an order that was held up by an outage.
-        if order.reply.is_closed() {
+        let Ok(request) = requests.try_recv() else { break };
+        // The caller timed out, as after an outage.
+        if request.reply.is_closed() {
             continue;
         }
-        count += order.ops.len();
-        waiting.push(order);
+        count += request.ops.len();
+        batch.push(request);
     }
-    waiting
+    batch
 }
 
-/// Appends one batch and hands out its verdicts once it is read back.
+/// Appends one batch and sends its verdicts once it is read back.
 ///
-/// An append without a good answer may have taken effect. The same batch is appended again; the
-/// fold counts it once. After its deadline it can have no effect any more and is given up.
-async fn append(tables: &Tables, seq: u64, waiting: Vec<Order>) {
-    let ops: Vec<Op> = waiting.iter().flat_map(|o| o.ops.iter().cloned()).collect();
-    let expires = tables.log_now().unwrap_or_default() + EXPIRES;
-    let stamp = tables.ring.clock().tick();
+/// A failed append may have taken effect, so the same batch is appended again and the fold applies
+/// it once. After its expiry it can take no effect and is dropped.
+async fn append(tables: &Tables, seq: u64, batch: Vec<CommitRequest>) {
+    let ops: Vec<Op> = batch.iter().flat_map(|o| o.ops.iter().cloned()).collect();
+    let expires = tables.log_now().unwrap_or_default() + BATCH_TTL;
+    let stamp = tables.events.clock().tick();
     let record = Record::Batch(Batch { writer: tables.writer, seq, expires, stamp, ops });
     let bytes = record.encode();
-    tables.meter.count("myrtle_log_appends", "cell");
-    // Repeats of earlier batches may have left what nobody asks for.
+    tables.metrics.count("myrtle_log_appends", "cell");
+    // Repeats of earlier batches may have left verdicts that no caller waits for.
     tables.cell(|c| c.verdicts.clear());
     loop {
         let appended = tables.log.append(&tables.stream(), bytes.clone()).await;
         if let Err(e) = &appended {
-            warn!("log: append {seq} failed or its answer was lost: {e}");
+            warn!("log: no successful reply to append {seq}, which may have taken effect: {e}");
         }
-        if let Some(verdicts) = read_back(tables, seq, patience(&appended)).await {
-            return hand_out(waiting, verdicts);
+        if let Some(verdicts) = read_back(tables, seq, read_back_timeout(&appended)).await {
+            return send_verdicts(batch, verdicts);
         }
-        if tables.cell(|c| c.cell.now > expires) || waiting.iter().all(|o| o.reply.is_closed()) {
+        if tables.cell(|c| c.cell.now > expires) || batch.iter().all(|o| o.reply.is_closed()) {
             return;
         }
         sleep(Duration::from_millis(100)).await;
     }
 }
 
-/// How long to look for a batch in the log before it is appended again.
-fn patience(appended: &Result<u64, Failure>) -> Duration {
+/// Returns how long to wait for a batch to be read back before it is appended again.
+fn read_back_timeout(appended: &Result<u64, Failure>) -> Duration {
     match appended {
-        // It was most likely not taken in: looking for long would go on when the log is back.
-        Err(Failure::Connect(_) | Failure::Status(..)) => GAP,
-        _ => READ_BACK,
+        // The log most likely rejected the batch; a long wait would outlast the outage.
+        Err(Failure::Connect(_) | Failure::Status(..)) => APPEND_INTERVAL,
+        _ => READ_BACK_TIMEOUT,
     }
 }
 
-async fn read_back(tables: &Tables, seq: u64, patience: Duration) -> Option<Verdicts> {
+async fn read_back(tables: &Tables, seq: u64, limit: Duration) -> Option<Verdicts> {
     let mut changed = tables.changed.subscribe();
     let wait = async {
         loop {
@@ -155,13 +158,13 @@
             }
         }
     };
-    timeout(patience, wait).await.ok()
+    timeout(limit, wait).await.ok()
 }
 
-fn hand_out(waiting: Vec<Order>, verdicts: Verdicts) {
+fn send_verdicts(batch: Vec<CommitRequest>, verdicts: Verdicts) {
     let mut verdicts = verdicts.into_iter();
-    for order in waiting {
-        let own = verdicts.by_ref().take(order.ops.len()).collect();
-        let _ = order.reply.send(own);
+    for request in batch {
+        let own = verdicts.by_ref().take(request.ops.len()).collect();
+        let _ = request.reply.send(own);
     }
 }
--- a/crates/sched/src/duties.rs
+++ b/crates/sched/src/duties.rs
@@ -1,4 +1,4 @@
-//! What one host does for the whole cell: jobs, keepers, claims, lapses.
+//! Duties of the cell's writer: jobs, coordinators of resources, claims and lapses.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -16,24 +16,24 @@
 use crate::claims::{claims, fleet};
 use crate::tables::Tables;
 
-/// The time between two rounds.
-const ROUND: Duration = Duration::from_millis(200);
+/// Time between two passes over the duties.
+const INTERVAL: Duration = Duration::from_millis(200);
 
-/// How long a gate may be silent before it is suspected.
-const GATE_SILENT: Millis = Millis(3_000);
+/// Time without a call from a gate after which it is suspected.
+const GATE_SUSPECT_AFTER: Millis = Millis(3_000);
 
-/// The time after the start in which gates are not suspected, since none was heard yet.
-const GRACE: Millis = Millis(5_000);
+/// Time after the start during which gates are not suspected, as they may not have called yet.
+const STARTUP_GRACE: Millis = Millis(5_000);
 
-/// Does the cell's duties when it is this host's turn, until the future is dropped.
+/// Performs the duties while this host is the cell's writer, until the future is dropped.
 pub async fn run(tables: Arc<Tables>) {
     loop {
-        tokio::time::sleep(ROUND).await;
-        if !tables.lit() || !tables.mine("writer") {
+        tokio::time::sleep(INTERVAL).await;
+        if !tables.online() || !tables.elected("writer") {
             continue;
         }
-        let mut ops = standing_ops(&tables);
-        ops.extend(lapses(&tables).await);
+        let mut ops = reconcile(&tables);
+        ops.extend(lapse_ops(&tables).await);
         ops.extend(tables.cell(|c| {
             if c.cell.pending.is_empty() {
                 return Vec::new();
@@ -48,12 +48,12 @@
     }
 }
 
-/// The tails of services by worker, as this host and its peers measured them.
+/// Returns tail latency over target by worker, from this host's and its peers' measurements.
 fn tails(tables: &Tables) -> BTreeMap<u32, f64> {
     let mut tails = BTreeMap::new();
     tables.peers(|p| {
-        let told = p.scheds.values().filter_map(|s| s.pulse.as_ref());
-        let loads = told.flat_map(|(pulse, _)| &pulse.loads).filter(|l| l.slow > 0);
+        let reported = p.scheds.values().filter_map(|s| s.pulse.as_ref());
+        let loads = reported.flat_map(|(pulse, _)| &pulse.loads).filter(|l| l.slow > 0);
         tails.extend(loads.map(|l| (l.worker, f64::from(l.slow) / 100.0)));
     });
     tables.links(|links| {
@@ -72,34 +72,34 @@
         if verdict.is_err() {
             continue;
         }
-        if let Some(word) = word(op) {
-            info!("cell: {word}");
-            tables.ring.add("cell", word);
+        if let Some(text) = describe(op) {
+            info!("cell: {text}");
+            tables.events.add("cell", text);
         }
     }
 }
 
-/// Jobs, keepers and gates that the fold does not have yet.
-fn standing_ops(tables: &Tables) -> Vec<Op> {
-    // What peers heard is told with their pulses, so it may be that much older.
-    let late = tables.pulse_period();
-    let seen = tables.gates_seen(GATE_SILENT + late + late);
-    let settled = tables.now() > GRACE;
+/// Returns commands that bring jobs, coordinators and gates in the fold up to date.
+fn reconcile(tables: &Tables) -> Vec<Op> {
+    // Calls to peers arrive with their pulses, so they may be older by that time.
+    let pulse_age = tables.pulse_period();
+    let seen = tables.gates_seen(GATE_SUSPECT_AFTER + pulse_age + pulse_age);
+    let started = tables.now() > STARTUP_GRACE;
     let centre = tables.centre();
     tables.config(|config| {
         tables.cell(|c| {
             let mut ops = job_ops(config, &c.cell, centre);
             let hosts = tables.peers(|p| p.hosts.clone());
             ops.extend(gate_ops(config, &c.cell, &hosts, centre));
-            if settled {
-                ops.extend(silent_gates(&c.cell, &seen));
+            if started {
+                ops.extend(suspect_gates(&c.cell, &seen));
             }
             ops
         })
     })
 }
 
-/// Commands that bring the cell's jobs in line with the configuration.
+/// Returns commands that bring the cell's jobs in line with the configuration.
 pub fn job_ops(config: &Config, cell: &Cell, centre: &str) -> Vec<Op> {
     let Some(platform) = config.platform() else { return Vec::new() };
     let mut ops = Vec::new();
@@ -126,7 +126,7 @@
     ops
 }
 
-/// What a configured job asks for.
+/// Converts a configured job; `None` if its class does not exist.
 fn spec(platform: &Desired, job: &Job) -> Option<Spec> {
     let class = platform.classes.get(&job.class)?;
     Some(Spec {
@@ -142,7 +142,7 @@
     })
 }
 
-/// Commands that give every unit a keeper.
+/// Returns commands that give a coordinator to every resource that has none.
 pub fn gate_ops(config: &Config, cell: &Cell, hosts: &[Host], centre: &str) -> Vec<Op> {
     let up: Vec<&str> =
         cell.gates.iter().filter(|g| g.1.health == Health::Up).map(|g| g.0.as_str()).collect();
@@ -165,8 +165,8 @@
     keep.collect()
 }
 
-/// Suspicions of gates that no host has heard of, or that came back with another life.
-fn silent_gates(cell: &Cell, seen: &[GateSeen]) -> Vec<Op> {
+/// Returns suspicions of gates that called no host, or only with another incarnation.
+fn suspect_gates(cell: &Cell, seen: &[GateSeen]) -> Vec<Op> {
     let silent = cell.gates.iter().filter(|(name, gate)| {
         let heard = seen.iter().any(|s| s.name == **name && s.boot == gate.boot);
         gate.health == Health::Up && !heard
@@ -174,8 +174,8 @@
     silent.map(|(name, _)| Op::Suspect { subject: Subject::Gate(name.clone()) }).collect()
 }
 
-/// Lapses of suspects whose leases have run out, with the promises of a majority.
-async fn lapses(tables: &Tables) -> Vec<Op> {
+/// Returns lapses of suspects whose leases have expired and whom a majority promises not to renew.
+async fn lapse_ops(tables: &Tables) -> Vec<Op> {
     let now = tables.log_now().unwrap_or_default();
     let due: Vec<(Subject, u64)> = tables.cell(|c| {
         let over = |subject: &Subject| {
@@ -195,10 +195,10 @@
     ops
 }
 
-/// The words of a command in the time line.
-fn word(op: &Op) -> Option<String> {
+/// Describes a command for the time line; `None` for commands left out of it.
+fn describe(op: &Op) -> Option<String> {
     match op {
-        Op::Genesis { hosts } => Some(format!("hosts named: {}", hosts.join(", "))),
+        Op::Genesis { hosts } => Some(format!("voters set: {}", hosts.join(", "))),
         Op::Job { name, .. } => Some(format!("job {name} entered")),
         Op::Remove { name, .. } => Some(format!("job {name} removed")),
         Op::Claim { task, attempt, worker } => {
@@ -207,7 +207,7 @@
         Op::Stop { task, why, .. } => Some(format!("task {task} is to stop: {why}")),
         Op::Suspect { subject } => Some(format!("{subject} suspected")),
         Op::Lapse { subject, consents, .. } => {
-            Some(format!("{subject} given up on the word of {}", consents.join(", ")))
+            Some(format!("{subject} given up with the consent of {}", consents.join(", ")))
         }
         _ => None,
     }
--- a/crates/sched/src/follow.rs
+++ b/crates/sched/src/follow.rs
@@ -1,4 +1,6 @@
-//! Follows the streams and folds them; starts from snapshots or from a peer.
+//! Follows the streams of the cell and the configuration and folds them.
+//!
+//! State whose records the log has dropped comes from a snapshot or from a peer.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -11,71 +13,71 @@
 use myrtle_peer::SchedPeerClient;
 use myrtle_platform::{Entry, Page, ReadError};
 
-use crate::names::CONFIG;
+use crate::names::CONFIG_STREAM;
 use crate::tables::{CellTable, Tables};
 
-/// How long a read waits for a record; bounds the age of a lease's grounds.
-const WAIT: Duration = Duration::from_millis(800);
+/// How long a read waits for a record; bounds the age of the read that a lease is granted on.
+const READ_WAIT: Duration = Duration::from_millis(800);
 
-/// The pause after a read that failed.
-const PAUSE: Duration = Duration::from_millis(200);
+/// Delay after a failed read.
+const RETRY_DELAY: Duration = Duration::from_millis(200);
 
-/// How long a peer may take to tell its state.
-const WHOLE: Duration = Duration::from_secs(3);
+/// Timeout of fetching the state of a peer.
+const FETCH_TIMEOUT: Duration = Duration::from_secs(3);
 
-/// Records folded after which a writer leaves a snapshot.
-const SNAPSHOT_EVERY: u64 = 256;
+/// Number of records between two snapshots.
+const SNAPSHOT_INTERVAL: u64 = 256;
 
-/// Follows the cell's stream until the future is dropped.
+/// Folds the cell's stream until the future is dropped.
 pub async fn follow_cell(tables: Arc<Tables>) {
     let stream = tables.stream();
-    let mut contact = true;
+    let mut connected = true;
     loop {
         let from = tables.cell(|c| c.cell.next);
         let sent = tables.now();
-        // The first read after an outage waits for no record, or it would tell late that it is over.
-        let wait = if contact { WAIT } else { Duration::ZERO };
+        // After a failure, waiting for a record would delay noticing that the log is back.
+        let wait = if connected { READ_WAIT } else { Duration::ZERO };
         match tables.log.read(&stream, from, wait).await {
             Ok(page) => {
-                tables.note_contact(&mut contact, true, "the log");
-                take_page(&tables, sent, page);
+                tables.record_contact(&mut connected, true, "the log");
+                apply_page(&tables, sent, page);
             }
-            Err(ReadError::Gone(first)) => catch_up(&tables, &stream, first).await,
+            Err(ReadError::Gone(first)) => restore_cell(&tables, &stream, first).await,
             Err(ReadError::Away(e)) => {
-                if contact {
+                if connected {
                     warn!("log: cannot read {stream}: {e}");
                 }
-                tables.note_contact(&mut contact, false, "the log");
+                tables.record_contact(&mut connected, false, "the log");
                 if tables.cell(|c| c.cell.next) == 0 {
-                    ask_peers(&tables).await;
+                    fetch_state(&tables).await;
                 }
-                tokio::time::sleep(PAUSE).await;
+                tokio::time::sleep(RETRY_DELAY).await;
             }
         }
     }
 }
 
-/// Follows the configuration until the future is dropped.
+/// Folds the configuration's stream until the future is dropped.
 pub async fn follow_config(tables: Arc<Tables>) {
     loop {
         let from = tables.config(|c| c.next);
-        match tables.log.read(CONFIG, from, WAIT).await {
-            Ok(page) => page.entries.iter().for_each(|e| take_change(&tables, e)),
-            Err(ReadError::Gone(first)) => catch_up_config(&tables, first).await,
-            Err(ReadError::Away(_)) => tokio::time::sleep(PAUSE).await,
+        match tables.log.read(CONFIG_STREAM, from, READ_WAIT).await {
+            Ok(page) => page.entries.iter().for_each(|e| apply_change(&tables, e)),
+            Err(ReadError::Gone(first)) => restore_config(&tables, first).await,
+            Err(ReadError::Away(_)) => tokio::time::sleep(RETRY_DELAY).await,
         }
     }
 }
 
-/// Leaves snapshots when it is this host's turn, until the future is dropped.
-pub async fn leave_snapshots(tables: Arc<Tables>) {
+/// Appends snapshots of the cell while this host is elected, until the future is dropped.
+pub async fn write_snapshots(tables: Arc<Tables>) {
     loop {
         tokio::time::sleep(Duration::from_secs(1)).await;
-        if !tables.lit() || !tables.mine("snapshot") {
+        if !tables.online() || !tables.elected("snapshot") {
             continue;
         }
         let cell = tables.cell(|c| {
-            let due = c.cell.next >= c.snapshot + SNAPSHOT_EVERY;
+            let due = c.cell.next >= c.snapshot + SNAPSHOT_INTERVAL;
             due.then(|| c.cell.clone())
         });
         let Some(cell) = cell else { continue };
@@ -84,26 +86,29 @@
     }
 }
 
-/// Leaves snapshots of the configuration when it is this host's turn.
-pub async fn leave_config_snapshots(tables: Arc<Tables>) {
-    let mut done = 0;
+/// Appends snapshots of the configuration while this host is elected, until it is dropped.
+pub async fn write_config_snapshots(tables: Arc<Tables>) {
+    let mut written = 0;
     loop {
         tokio::time::sleep(Duration::from_secs(1)).await;
         let next = tables.config(|c| c.next);
-        if next < done + SNAPSHOT_EVERY || !tables.lit() || !tables.mine("config-snapshot") {
+        if next < written + SNAPSHOT_INTERVAL
+            || !tables.online()
+            || !tables.elected("config-snapshot")
+        {
             continue;
         }
         let config = tables.config(|c| c.clone());
-        done = next;
-        let _ = tables.log.append(CONFIG, ConfigRecord::Snapshot(config).encode()).await;
+        written = next;
+        let _ = tables.log.append(CONFIG_STREAM, ConfigRecord::Snapshot(config).encode()).await;
     }
 }
 
-/// Takes in the state of a peer, which may be newer than what the log's snapshots give.
-pub async fn ask_peers(tables: &Tables) {
+/// Adopts the state of peers where it is newer, as it may be newer than the log's snapshots.
+pub async fn fetch_state(tables: &Tables) {
     for (name, link) in tables.peer_links() {
         let call = |c: SchedPeerClient, x| async move { c.whole(x).await };
-        let Some(whole) = link.call(WHOLE, call).await else { continue };
+        let Some(whole) = link.call(FETCH_TIMEOUT, call).await else { continue };
         tables.config(|c| c.catch_up(whole.config));
         let newer = tables.cell(|c| {
             let newer = whole.cell.next > c.cell.next;
@@ -113,14 +118,14 @@
             newer
         });
         if newer {
-            info!("log: took in the state of {name}");
-            tables.ring.add("log", format!("took in the state of {name}"));
-            tables.wake();
+            info!("log: adopted the state of {name}");
+            tables.events.add("log", format!("adopted the state of {name}"));
+            tables.notify();
         }
     }
 }
 
-fn take_page(tables: &Tables, sent: Millis, page: Page) {
+fn apply_page(tables: &Tables, sent: Millis, page: Page) {
     let now = tables.now();
     let folded = tables.cell(|table| {
         let mut folded = false;
@@ -128,7 +133,7 @@
             if entry.offset > table.cell.next {
                 return folded;
             }
-            take_entry(tables, table, entry);
+            apply_entry(tables, table, entry);
             folded = true;
         }
         table.log_time = Some((page.time, now));
@@ -138,17 +143,17 @@
         folded
     });
     if folded {
-        tables.wake();
+        tables.notify();
     }
 }
 
-fn take_entry(tables: &Tables, table: &mut CellTable, entry: &Entry) {
+fn apply_entry(tables: &Tables, table: &mut CellTable, entry: &Entry) {
     match Record::decode(&entry.data) {
         Some(Record::Batch(batch)) => {
-            tables.ring.clock().merge(batch.stamp);
+            tables.events.clock().merge(batch.stamp);
             let verdicts = table.cell.fold(entry.offset, entry.time, &batch);
             let own = batch.writer == tables.writer;
-            // A repeat of a batch says nothing about the batch itself.
+            // The verdicts of a repeated batch are not those of the batch itself.
             if own && !table.verdicts.contains_key(&batch.seq) {
                 table.verdicts.insert(batch.seq, verdicts);
             }
@@ -158,15 +163,18 @@
             table.snapshot = entry.offset;
         }
         None => {
-            warn!("log: record {} cannot be read, passed over", entry.offset);
+            warn!("log: cannot decode record {}, skipped", entry.offset);
             table.cell.pass(entry.offset, entry.time);
         }
     }
 }
 
-/// Looks for the newest snapshot from which the kept records lead on.
-async fn catch_up(tables: &Tables, stream: &str, first: u64) {
-    tables.ring.add("log", format!("records before {first} are gone, looking for a snapshot"));
+/// Adopts the newest snapshot that the log's remaining records continue, or the state of a peer.
+async fn restore_cell(tables: &Tables, stream: &str, first: u64) {
+    tables.events.add(
+        "log",
+        format!("records before {first} are no longer in the log, looking for a snapshot"),
+    );
     let mut from = first;
     let mut found = None;
     while let Ok(page) = tables.log.read(stream, from, Duration::ZERO).await {
@@ -180,16 +188,16 @@
     }
     let adopted = found.is_some_and(|s| tables.cell(|c| c.cell.adopt(*s)));
     if adopted {
-        tables.wake();
+        tables.notify();
         return;
     }
-    ask_peers(tables).await;
-    tokio::time::sleep(PAUSE).await;
+    fetch_state(tables).await;
+    tokio::time::sleep(RETRY_DELAY).await;
 }
 
-async fn catch_up_config(tables: &Tables, first: u64) {
+async fn restore_config(tables: &Tables, first: u64) {
     let mut from = first;
-    while let Ok(page) = tables.log.read(CONFIG, from, Duration::ZERO).await {
+    while let Ok(page) = tables.log.read(CONFIG_STREAM, from, Duration::ZERO).await {
         let Some(last) = page.entries.last() else { break };
         from = last.offset + 1;
         for entry in &page.entries {
@@ -199,28 +207,28 @@
         }
     }
     if tables.config(|c| c.next) < first {
-        ask_peers(tables).await;
-        tokio::time::sleep(PAUSE).await;
+        fetch_state(tables).await;
+        tokio::time::sleep(RETRY_DELAY).await;
     }
 }
 
-fn take_change(tables: &Tables, entry: &Entry) {
+fn apply_change(tables: &Tables, entry: &Entry) {
     match ConfigRecord::decode(&entry.data) {
         Some(ConfigRecord::Change(change)) => {
             let (scope, by) = (change.desired.scope.clone(), change.by.clone());
             let verdict = tables.config(|c| c.fold(entry.offset, change));
             let text = match verdict {
                 Verdict::Accepted(version) => format!("{scope} by {by} in force as {version}"),
-                Verdict::Refused(refusal) => format!("{scope} by {by} turned down: {refusal}"),
+                Verdict::Refused(refusal) => format!("{scope} by {by} refused: {refusal}"),
             };
             info!("config: {text}");
-            tables.ring.add("config", text);
+            tables.events.add("config", text);
         }
         Some(ConfigRecord::Snapshot(_)) => tables.config(|c| c.skip(entry.offset)),
         None => {
-            warn!("config: record {} cannot be read, passed over", entry.offset);
+            warn!("config: cannot decode record {}, skipped", entry.offset);
             tables.config(|c| c.skip(entry.offset));
         }
     }
-    tables.wake();
+    tables.notify();
 }
--- a/crates/sched/src/leases.rs
+++ b/crates/sched/src/leases.rs
@@ -1,4 +1,4 @@
-//! Grants leases: on a fresh log read, or without the log on a majority's word.
+//! Grants leases on a recent log read, or on a majority's promises while the log is unreachable.
 
 use std::time::Duration;
 
@@ -8,27 +8,27 @@
 use myrtle_cell::{Grant, Health, Read, Subject};
 use myrtle_peer::SchedPeerClient;
 
-use crate::tables::{FRESH, Tables};
+use crate::tables::{MAX_AGE, Tables};
 
-/// How long a peer may take to give its word.
-const WORD: Duration = Duration::from_millis(600);
+/// Timeout of asking a peer for a promise.
+const PROMISE_TIMEOUT: Duration = Duration::from_millis(600);
 
 impl Tables {
-    /// The lease for a subject whose clock showed `stamp` in a message that came at `arrived`.
+    /// Grants a lease to a subject whose clock showed `stamp` in a message received at `arrived`.
     pub async fn grant(&self, subject: &Subject, stamp: Millis, arrived: Millis) -> Option<Grant> {
         let now = self.now();
         let (health, read) = self.cell(|c| (c.cell.health(subject), c.read));
         if health != Some(Health::Up) {
             return None;
         }
-        let fresh = |r: &Read| now.since(r.sent) < FRESH;
+        let fresh = |r: &Read| now.since(r.sent) < MAX_AGE;
         match read.filter(fresh) {
             Some(read) => read.grant(stamp, arrived),
-            None => self.grant_dark(subject, stamp).await,
+            None => self.grant_offline(subject, stamp).await,
         }
     }
 
-    /// The hosts that promise not to renew a suspected subject.
+    /// Returns the hosts that promise not to renew the lease of a suspected subject.
     pub async fn consents(&self, subject: &Subject, suspected: u64) -> Vec<String> {
         let mut hosts = self
             .ask_all(|c, x| {
@@ -42,19 +42,19 @@
         hosts
     }
 
-    /// This host's own word that it will not renew a suspected subject.
+    /// Promises on behalf of this host not to renew the lease of a suspected subject, if it may.
     pub fn consent(&self, subject: &Subject, suspected: u64) -> bool {
         let now = self.now();
         self.cell(|c| self.promise(|p| p.consent(&c.cell, subject, suspected, now)))
     }
 
-    /// This host's own word that a subject may be renewed without the log.
+    /// Promises on behalf of this host that a lease may be renewed without the log, if it may.
     pub fn allow(&self, subject: &Subject) -> bool {
         let now = self.now();
         self.cell(|c| self.promise(|p| p.allow(&c.cell, subject, now)))
     }
 
-    async fn grant_dark(&self, subject: &Subject, stamp: Millis) -> Option<Grant> {
+    async fn grant_offline(&self, subject: &Subject, stamp: Millis) -> Option<Grant> {
         if !self.allow(subject) {
             return None;
         }
@@ -69,7 +69,7 @@
         enough.then(|| Grant { until: stamp + LEASE })
     }
 
-    /// The peers that answer yes.
+    /// Returns the peers that answer with true.
     async fn ask_all<F, R>(&self, ask: F) -> Vec<String>
     where
         F: Fn(SchedPeerClient, tarpc::context::Context) -> R,
@@ -77,7 +77,7 @@
     {
         let ask = &ask;
         let answers = self.peer_links().into_iter().map(|(name, link)| async move {
-            let yes = link.call(WORD, ask).await;
+            let yes = link.call(PROMISE_TIMEOUT, ask).await;
             yes.unwrap_or(false).then_some(name)
         });
         join_all(answers).await.into_iter().flatten().collect()
--- a/crates/sched/src/lib.rs
+++ b/crates/sched/src/lib.rs
@@ -1,7 +1,7 @@
-//! The sched: folds its cell's stream, places tasks, renews leases, tells gates what they need.
+//! The sched: folds its cell's stream, places tasks, renews leases and sends gates their view.
 //!
-//! Lock order of [`Tables`]: config, cell, promise, peers, links, policy. A task that holds one
-//! may take only those after it, and holds none across an await.
+//! Lock order of [`Tables`]: config, cell, promise, peers, links, policy. A holder of one lock may
+//! take only later ones, and holds none across an await.
 
 mod admin;
 mod balance;
@@ -17,6 +17,6 @@
 mod run;
 mod tables;
 mod views;
-mod warden;
+mod workers;
 
 pub use run::{Sched, start};
--- a/crates/sched/src/main.rs
+++ b/crates/sched/src/main.rs
@@ -1,4 +1,4 @@
-//! `myrtle-sched`: places tasks, renews leases, keeps up with the log.
+//! `myrtle-sched`: follows the log, places tasks and renews leases.
 
 use std::process::ExitCode;
 
--- a/crates/sched/src/names.rs
+++ b/crates/sched/src/names.rs
@@ -2,20 +2,20 @@
 
 use myrtle_cell::TaskId;
 
-/// The stream of configuration changes.
-pub const CONFIG: &str = "config";
+/// Stream of configuration changes.
+pub const CONFIG_STREAM: &str = "config";
 
-/// The stream of a cell.
+/// Returns the name of a cell's stream.
 pub fn stream(cell: &str) -> String {
     format!("cell/{cell}")
 }
 
-/// The name of a task towards workers.
+/// Returns the name of a task in orders to workers.
 pub fn task_name(cell: &str, id: TaskId) -> String {
     format!("{cell}/{id}")
 }
 
-/// The task with this name, if it is one of the cell's.
+/// Parses the name of a task; `None` if it is malformed or of another cell.
 pub fn task_id(cell: &str, name: &str) -> Option<TaskId> {
     let rest = name.strip_prefix(cell)?.strip_prefix('/')?;
     let (job, index) = rest.split_once('.')?;
--- a/crates/sched/src/peers.rs
+++ b/crates/sched/src/peers.rs
@@ -1,4 +1,4 @@
-//! Keeps up with the host list and with the other scheds of the data centre.
+//! Follows the host list and exchanges pulses with the other scheds of the data centre.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -11,37 +11,37 @@
 
 use crate::tables::{Peer, Tables};
 
-/// The time between two looks at the host list.
-const LIST: Duration = Duration::from_millis(1_000);
+/// Time between two reads of the host list.
+const LIST_INTERVAL: Duration = Duration::from_millis(1_000);
 
-/// How long a pulse may take.
-const LIMIT: Duration = Duration::from_millis(600);
+/// Timeout of a pulse.
+const PULSE_TIMEOUT: Duration = Duration::from_millis(600);
 
-/// Reads the host list again and again, until the future is dropped.
+/// Reads the host list periodically until the future is dropped.
 pub async fn follow_list(tables: Arc<Tables>) {
     let mut mark = 0;
     loop {
         if let Ok(part) = tables.list.part(tables.centre(), mark).await {
             mark = part.mark;
-            part.hosts.into_iter().for_each(|hosts| take_list(&tables, hosts));
+            part.hosts.into_iter().for_each(|hosts| apply_list(&tables, hosts));
         }
-        tokio::time::sleep(LIST).await;
+        tokio::time::sleep(LIST_INTERVAL).await;
     }
 }
 
-/// Asks the other scheds how they are, until the future is dropped.
-pub async fn pulse(tables: Arc<Tables>) {
+/// Sends pulses to the other scheds periodically until the future is dropped.
+pub async fn pulse_peers(tables: Arc<Tables>) {
     loop {
         join_all(tables.peer_links().into_iter().map(|(name, link)| {
             let tables = tables.clone();
-            async move { ask(&tables, &name, &link).await }
+            async move { pulse_peer(&tables, &name, &link).await }
         }))
         .await;
         tokio::time::sleep(tables.pulse_period().std()).await;
     }
 }
 
-fn take_list(tables: &Tables, hosts: Vec<Host>) {
+fn apply_list(tables: &Tables, hosts: Vec<Host>) {
     let changed = tables.peers(|peers| {
         let own = |h: &&Host| h.role == Role::Sched && h.data_centre == tables.centre();
         let scheds = hosts.iter().filter(own).filter(|h| h.name != tables.name());
@@ -59,17 +59,17 @@
         changed
     });
     if changed {
-        tables.wake();
+        tables.notify();
     }
 }
 
-async fn ask(tables: &Tables, name: &str, link: &Link<SchedPeerClient>) {
-    let stamp = tables.ring.clock().tick();
+async fn pulse_peer(tables: &Tables, name: &str, link: &Link<SchedPeerClient>) {
+    let stamp = tables.events.clock().tick();
     let call = |c: SchedPeerClient, x| async move { c.pulse(x, stamp).await };
-    let answer = link.call(LIMIT, call).await;
-    note(tables, name, answer.is_some());
+    let answer = link.call(PULSE_TIMEOUT, call).await;
+    record_reply(tables, name, answer.is_some());
     let Some(pulse) = answer else { return };
-    tables.ring.clock().merge(pulse.stamp);
+    tables.events.clock().merge(pulse.stamp);
     let now = tables.now();
     tables.peers(|p| {
         if let Some(peer) = p.scheds.get_mut(name) {
@@ -78,11 +78,11 @@
     });
 }
 
-/// Puts it into the time line when a peer falls silent or answers again.
-fn note(tables: &Tables, name: &str, answers: bool) {
+/// Adds an event when a peer stops answering or answers again.
+fn record_reply(tables: &Tables, name: &str, answers: bool) {
     let known = tables.peers(|p| p.scheds.get(name).map(|s| s.answers));
     let Some(mut was) = known else { return };
-    tables.note_contact(&mut was, answers, name);
+    tables.record_contact(&mut was, answers, name);
     tables.peers(|p| {
         if let Some(peer) = p.scheds.get_mut(name) {
             peer.answers = was;
@@ -90,5 +90,5 @@
     });
 }
 
-/// Gates heard of within this time are told to peers.
-pub const GATE_AGE: Millis = Millis(6_000);
+/// Age of a gate's last call up to which pulses report the gate.
+pub const MAX_GATE_AGE: Millis = Millis(6_000);
--- a/crates/sched/src/reports.rs
+++ b/crates/sched/src/reports.rs
@@ -1,4 +1,4 @@
-//! What a worker's reports mean for the fold: pure.
+//! Derives commands and orders from a worker's reports and the fold, without side effects.
 
 use myrtle_base::Millis;
 use myrtle_cell::{Cell, End, Op, State, TaskId, Why};
@@ -7,53 +7,53 @@
 
 use crate::names::{task_id, task_name};
 
-/// Checkpoints between two that are put into the log while a task runs.
-const MARK_EVERY: u32 = 20;
+/// Number of checkpoints between two that are logged while a task runs.
+const CHECKPOINT_INTERVAL: u32 = 20;
 
-/// What follows from one report.
+/// What one report requires.
 #[derive(Debug, PartialEq)]
-pub enum Next {
+pub enum ReportAction {
     /// Nothing.
     Nothing,
-    /// The fold must hear of it.
-    Tell(Op),
-    /// The end is recorded; the worker may forget it.
-    Noted(Stop),
-    /// The attempt must not run there.
+    /// A command for the log.
+    Propose(Op),
+    /// The end is in the fold, so the worker may discard it.
+    Acknowledge(Stop),
+    /// The attempt must not run on this worker.
     Stop(Stop),
 }
 
-/// Judges a report of worker `worker`.
-pub fn judge(cell: &Cell, centre: &str, worker: u32, report: &Report) -> Next {
-    let own = Stop { task: report.task.clone(), attempt: report.attempt };
+/// Derives what a report of worker `worker` requires.
+pub fn evaluate(cell: &Cell, centre: &str, worker: u32, report: &Report) -> ReportAction {
+    let stop = Stop { task: report.task.clone(), attempt: report.attempt };
     let current = current(cell, centre, worker, report);
     let running = report.state == RunState::Running;
     let Some((id, state, checkpoint)) = current else {
         return match running {
-            // This host's fold may be behind the host that started it.
-            true if ahead(cell, centre, report) => Next::Nothing,
-            true => Next::Stop(own),
-            false => Next::Noted(own),
+            // The host that started the attempt may have folded more of the log than this one.
+            true if ahead(cell, centre, report) => ReportAction::Nothing,
+            true => ReportAction::Stop(stop),
+            false => ReportAction::Acknowledge(stop),
         };
     };
     let (task, attempt) = (id, report.attempt);
     match report.state {
         RunState::Running => match state {
-            State::Claimed(_) => Next::Tell(Op::Started { task, attempt }),
-            State::Running(_) if report.checkpoint >= checkpoint + MARK_EVERY => {
-                Next::Tell(Op::Mark { task, attempt, checkpoint: report.checkpoint })
+            State::Claimed(_) => ReportAction::Propose(Op::Started { task, attempt }),
+            State::Running(_) if report.checkpoint >= checkpoint + CHECKPOINT_INTERVAL => {
+                ReportAction::Propose(Op::Mark { task, attempt, checkpoint: report.checkpoint })
             }
-            _ => Next::Nothing,
+            _ => ReportAction::Nothing,
         },
-        RunState::Done => Next::Tell(Op::End { task, attempt, end: End::Done }),
-        RunState::Failed => Next::Tell(Op::End { task, attempt, end: End::Failed }),
+        RunState::Done => ReportAction::Propose(Op::End { task, attempt, end: End::Done }),
+        RunState::Failed => ReportAction::Propose(Op::End { task, attempt, end: End::Failed }),
         RunState::Stopped => {
-            Next::Tell(Op::End { task, attempt, end: End::Stopped(report.checkpoint) })
+            ReportAction::Propose(Op::End { task, attempt, end: End::Stopped(report.checkpoint) })
         }
     }
 }
 
-/// The attempts that a worker is to start and to stop.
+/// Returns the attempts that a worker is to start and to stop.
 pub fn orders(cell: &Cell, centre: &str, worker: u32) -> (Vec<Start>, Vec<Stop>) {
     let mut starts = Vec::new();
     let mut stops = Vec::new();
@@ -76,7 +76,7 @@
     (starts, stops)
 }
 
-/// The command that evicts a task.
+/// Returns the command that evicts a task, if the task runs.
 pub fn evict(cell: &Cell, id: TaskId, why: Why) -> Option<Op> {
     let task = cell.tasks.get(&id)?;
     matches!(task.state, State::Running(_)).then_some(Op::Stop {
@@ -86,7 +86,7 @@
     })
 }
 
-/// Whether the report is of an attempt that this fold has not come to.
+/// Whether a later record than this fold's newest may have started the reported attempt.
 fn ahead(cell: &Cell, centre: &str, report: &Report) -> bool {
     let Some(id) = task_id(centre, &report.task) else { return false };
     match cell.tasks.get(&id) {
@@ -95,7 +95,7 @@
     }
 }
 
-/// The state of the reported attempt if the fold has it on this worker.
+/// Returns task, state and checkpoint of the reported attempt if the fold has it on this worker.
 fn current(
     cell: &Cell,
     centre: &str,
@@ -108,5 +108,5 @@
     same.then_some((id, task.state, task.checkpoint))
 }
 
-/// The time after which a host that hears nothing of a worker suspects it.
-pub const SILENT: Millis = Millis(2_500);
+/// Time without a reply from a worker after which its host suspects it.
+pub const SUSPECT_AFTER: Millis = Millis(2_500);
--- a/crates/sched/src/rpc.rs
+++ b/crates/sched/src/rpc.rs
@@ -1,4 +1,4 @@
-//! Answers the calls of scheds and gates.
+//! Serves the calls of scheds and gates.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -10,20 +10,20 @@
 use myrtle_cell::{Grant, Health, Op, Subject};
 use myrtle_peer::{GateView, Known, Proposal, Pulse, SchedPeer, Whole, WorkerLoad};
 
-use crate::peers::GATE_AGE;
+use crate::peers::MAX_GATE_AGE;
 use crate::tables::Tables;
 
-/// The longest that a view waits for a change.
+/// Longest time that a call for a view waits for a change.
 const MAX_WAIT: Duration = Duration::from_secs(2);
 
-/// The service towards peers.
+/// The service for peers.
 #[derive(Debug, Clone)]
 pub struct Server(pub Arc<Tables>);
 
 impl SchedPeer for Server {
     async fn pulse(self, _: Context, stamp: Stamp) -> Pulse {
         let tables = &self.0;
-        tables.ring.clock().merge(stamp);
+        tables.events.clock().merge(stamp);
         let now = tables.now();
         let gates = tables.peers(|p| {
             let own = p.gates.iter().map(|(name, (boot, at))| myrtle_peer::GateSeen {
@@ -31,11 +31,11 @@
                 boot: *boot,
                 age: now.since(*at),
             });
-            own.filter(|g| g.age < GATE_AGE).collect()
+            own.filter(|g| g.age < MAX_GATE_AGE).collect()
         });
         Pulse {
-            stamp: tables.ring.clock().tick(),
-            age: tables.age(),
+            stamp: tables.events.clock().tick(),
+            age: tables.log_age(),
             config: tables.config(|c| c.version),
             next: tables.cell(|c| c.cell.next),
             gates,
@@ -58,7 +58,7 @@
     }
 
     async fn propose(self, _: Context, stamp: Stamp, ops: Vec<Op>) -> Proposal {
-        self.0.ring.clock().merge(stamp);
+        self.0.events.clock().merge(stamp);
         self.0.commit(ops).await
     }
 
@@ -77,7 +77,7 @@
                 tables.propose(vec![Op::Clear { subject }]).await;
                 None
             }
-            // An earlier life must lapse first: the cell's writer sees to it.
+            // An earlier incarnation must lapse first, which the cell's writer proposes.
             Some((known, Health::Up | Health::Suspect { .. })) if known < boot => None,
             Some((known, _)) if known > boot => None,
             _ => {
@@ -92,21 +92,21 @@
         let mut changed = self.0.changed.subscribe();
         loop {
             let view = self.0.gate_view(&known);
-            let news = view.platform.is_some() || view.peering.is_some();
-            if news || timeout_at(end, changed.changed()).await.is_err() {
+            let updated = view.platform.is_some() || view.peering.is_some();
+            if updated || timeout_at(end, changed.changed()).await.is_err() {
                 return view;
             }
         }
     }
 }
 
-/// The loads of the workers that this host looks after.
+/// Returns the loads of the workers that this host manages.
 fn loads(tables: &Tables) -> Vec<WorkerLoad> {
     tables.cell(|c| {
         tables.links(|links| {
-            let load = |(name, link): (&String, &crate::warden::WorkerLink)| {
-                let no = c.cell.worker_named(name)?;
-                link.load(no, &c.cell.workers[no as usize].room)
+            let load = |(name, link): (&String, &crate::workers::WorkerLink)| {
+                let number = c.cell.worker_named(name)?;
+                link.load(number, &c.cell.workers[number as usize].room)
             };
             links.iter().filter_map(load).collect()
         })
--- a/crates/sched/src/run.rs
+++ b/crates/sched/src/run.rs
@@ -1,4 +1,4 @@
-//! Starts all parts of a sched.
+//! Starts all loops of a sched.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -15,58 +15,58 @@
 
 use crate::rpc::Server;
 use crate::tables::Tables;
-use crate::{admin, commit, duties, follow, peers, warden};
+use crate::{admin, commit, duties, follow, peers, workers};
 
-/// Orders that wait for the committer.
-const ORDERS: usize = 1024;
+/// Number of requests that may wait for the committer.
+const COMMIT_QUEUE: usize = 1024;
 
-/// A running sched; dropping it stops all its parts.
+/// A running sched; dropping it stops all its loops.
 #[derive(Debug)]
 pub struct Sched {
-    /// Where it answers operators.
+    /// Address for operators.
     pub http: SocketAddr,
-    /// Where it answers peers.
+    /// Address for peers.
     pub peer: SocketAddr,
-    parts: JoinSet<()>,
+    loops: JoinSet<()>,
 }
 
 impl Sched {
-    /// Waits until a part ends, which none does by itself.
+    /// Waits until a loop ends, which none does by itself.
     pub async fn wait(&mut self) {
-        self.parts.join_next().await;
+        self.loops.join_next().await;
     }
 }
 
-/// Starts a sched.
+/// Binds the addresses, registers the host and starts all loops; fails if a bind fails.
 pub async fn start(settings: Settings) -> std::io::Result<Sched> {
     let (http, peer) =
         (TcpListener::bind(settings.http).await?, TcpListener::bind(settings.peer).await?);
     let (http_at, peer_at) = (http.local_addr()?, peer.local_addr()?);
-    let (sender, orders) = mpsc::channel(ORDERS);
+    let (sender, requests) = mpsc::channel(COMMIT_QUEUE);
     let tables = Arc::new(Tables::new(settings, sender));
-    info!("sched: {} answers at {http_at}, peers at {peer_at}", tables.name());
-    tables.ring.add("sched", "started");
+    info!("sched: {} listens at {http_at}, for peers at {peer_at}", tables.name());
+    tables.events.add("sched", "started");
 
-    let mut parts = JoinSet::new();
+    let mut loops = JoinSet::new();
     let server = Server(tables.clone());
-    parts.spawn(async move {
+    loops.spawn(async move {
         let run = |channel: Wired<SchedPeerRequest, SchedPeerResponse>| {
             myrtle_peer::run!(channel, server.clone().serve());
         };
         myrtle_peer::listen(peer, run).await;
     });
     let shared = tables.clone();
-    parts.spawn(serve(http, move |ask| admin::handle(shared.clone(), ask)));
+    loops.spawn(serve(http, move |ask| admin::handle(shared.clone(), ask)));
     let (list, settings) = (&tables.list, &tables.settings);
     announce(list, settings, Role::Sched, http_at, peer_at).await;
-    parts.spawn(peers::follow_list(tables.clone()));
-    parts.spawn(peers::pulse(tables.clone()));
-    parts.spawn(follow::follow_config(tables.clone()));
-    parts.spawn(follow::follow_cell(tables.clone()));
-    parts.spawn(follow::leave_snapshots(tables.clone()));
-    parts.spawn(follow::leave_config_snapshots(tables.clone()));
-    parts.spawn(commit::run(tables.clone(), orders));
-    parts.spawn(warden::run(tables.clone()));
-    parts.spawn(duties::run(tables.clone()));
-    Ok(Sched { http: http_at, peer: peer_at, parts })
+    loops.spawn(peers::follow_list(tables.clone()));
+    loops.spawn(peers::pulse_peers(tables.clone()));
+    loops.spawn(follow::follow_config(tables.clone()));
+    loops.spawn(follow::follow_cell(tables.clone()));
+    loops.spawn(follow::write_snapshots(tables.clone()));
+    loops.spawn(follow::write_config_snapshots(tables.clone()));
+    loops.spawn(commit::run(tables.clone(), requests));
+    loops.spawn(workers::run(tables.clone()));
+    loops.spawn(duties::run(tables.clone()));
+    Ok(Sched { http: http_at, peer: peer_at, loops })
 }
--- a/crates/sched/src/tables.rs
+++ b/crates/sched/src/tables.rs
@@ -1,4 +1,4 @@
-//! The tables that all parts of the process share.
+//! State shared by all loops of the process.
 
 use std::collections::{BTreeMap, HashMap};
 use std::sync::{Arc, Mutex};
@@ -17,34 +17,34 @@
 
 use crate::balance::Policy;
 use crate::claims::Kinds;
-use crate::commit::Order;
+use crate::commit::CommitRequest;
 use crate::names::stream;
-use crate::warden::WorkerLink;
+use crate::workers::WorkerLink;
 
-/// A log read older than this counts as no contact with the log.
-pub const FRESH: Millis = Millis(2_500);
+/// Age of the newest log read beyond which this host counts as cut off from the log.
+pub const MAX_AGE: Millis = Millis(2_500);
 
-/// Kinds of tasks that are told apart.
+/// Number of kinds of tasks that the interference model distinguishes.
 const MAX_KINDS: usize = 256;
 
-/// The least time between two pulses.
-const PULSE: Millis = Millis(700);
+/// Minimum time between two pulses.
+const PULSE_PERIOD: Millis = Millis(700);
 
-/// What each peer adds to the time between two pulses.
-const PULSE_EACH: Millis = Millis(250);
+/// Time between two pulses per peer, so that traffic does not grow with the number of peers.
+const PULSE_PER_PEER: Millis = Millis(250);
 
-/// The fold with what is known about its age.
+/// The cell as folded so far, and the log reads that it comes from.
 #[derive(Debug, Default)]
 pub struct CellTable {
     /// The state.
     pub cell: Cell,
     /// The newest read that showed the end of the stream.
     pub read: Option<Read>,
-    /// The log's clock, and ours when the log told it.
+    /// The log's clock, and this host's clock when it was read.
     pub log_time: Option<(Millis, Millis)>,
-    /// What the fold said to this writer's batches, by number.
+    /// Verdicts on this writer's batches, by sequence number.
     pub verdicts: HashMap<u64, Verdicts>,
-    /// The offset of the newest snapshot seen.
+    /// Offset of the newest snapshot read.
     pub snapshot: u64,
 }
 
@@ -53,44 +53,44 @@
 pub struct Peer {
     /// The connection.
     pub link: Arc<Link<SchedPeerClient>>,
-    /// Its newest word and when it came.
+    /// Its newest pulse and when it arrived.
     pub pulse: Option<(Pulse, Millis)>,
-    /// Whether it answered the last time.
+    /// Whether it answered the last call.
     pub answers: bool,
 }
 
-/// What is known of other hosts.
+/// State of other hosts.
 #[derive(Debug, Default)]
 pub struct Peers {
-    /// The host list as it was told last.
+    /// The host list as last read.
     pub hosts: Vec<Host>,
     /// Other scheds of the data centre, by name.
     pub scheds: BTreeMap<String, Peer>,
-    /// Gates that renewed here, with their life and when.
+    /// Gates that renewed their lease here, with their incarnation and the time of the call.
     pub gates: BTreeMap<String, (u64, Millis)>,
 }
 
-/// Everything shared.
+/// State shared by all loops.
 #[derive(Debug)]
 pub struct Tables {
     /// The process's settings.
     pub settings: Settings,
-    /// The events.
-    pub ring: Ring,
-    /// The figures.
-    pub meter: Meter,
-    /// The log.
+    /// Recent events for the time line.
+    pub events: Ring,
+    /// Metrics of this process.
+    pub metrics: Meter,
+    /// Client of the log service.
     pub log: LogClient,
-    /// The host list.
+    /// Client of the host list.
     pub list: HostList,
-    /// The HTTP client.
+    /// HTTP client.
     pub caller: Caller,
-    /// This writer's number.
+    /// Number of this process as a writer to the log.
     pub writer: u64,
-    /// Wakes whoever waits for a change of the fold or the configuration.
+    /// Counts changes of the fold, the configuration or the host list.
     pub changed: watch::Sender<u64>,
-    /// Orders to the committer.
-    pub orders: mpsc::Sender<Order>,
+    /// Requests to the committer.
+    pub commits: mpsc::Sender<CommitRequest>,
     start: Instant,
     config: Mutex<Config>,
     cell: Mutex<CellTable>,
@@ -110,22 +110,22 @@
 }
 
 impl Tables {
-    /// Empty tables.
-    pub fn new(settings: Settings, orders: mpsc::Sender<Order>) -> Self {
+    /// Creates empty tables.
+    pub fn new(settings: Settings, commits: mpsc::Sender<CommitRequest>) -> Self {
         let caller = Caller::default();
         let log = LogClient::new(caller.clone(), settings.platform.log);
         let list = HostList::new(caller.clone(), settings.platform.hosts);
-        let born = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
+        let started_at = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
         Self {
-            ring: Ring::new(&settings.name),
-            meter: Meter::default(),
+            events: Ring::new(&settings.name),
+            metrics: Meter::default(),
             log,
             list,
             caller,
-            // Two lives of one host never share a number: it holds name and birth.
-            writer: myrtle_base::rank(&settings.name, &born.as_nanos().to_string()),
+            // The start time gives each incarnation of a host its own number.
+            writer: myrtle_base::rank(&settings.name, &started_at.as_nanos().to_string()),
             changed: watch::Sender::new(0),
-            orders,
+            commits,
             start: Instant::now(),
             config: Mutex::default(),
             cell: Mutex::default(),
@@ -133,7 +133,7 @@
             peers: Mutex::default(),
             links: Mutex::default(),
             policy: Mutex::new(Policy {
-                placer: Learned::new(1, MAX_KINDS, born.as_nanos() as u64),
+                placer: Learned::new(1, MAX_KINDS, started_at.as_nanos() as u64),
                 kinds: Kinds::default(),
             }),
             settings,
@@ -145,7 +145,7 @@
         config: Config
     );
     table!(
-        /// The cell; second in the lock order.
+        /// The folded cell; second in the lock order.
         cell: CellTable
     );
     table!(
@@ -153,7 +153,7 @@
         promise: Promise
     );
     table!(
-        /// Other hosts; fourth in the lock order.
+        /// State of other hosts; fourth in the lock order.
         peers: Peers
     );
     table!(
@@ -161,11 +161,11 @@
         links: BTreeMap<String, WorkerLink>
     );
     table!(
-        /// What the policy remembers; last in the lock order.
+        /// State of the placement policy; last in the lock order.
         policy: Policy
     );
 
-    /// The process's own clock.
+    /// Time since the start of the process.
     pub fn now(&self) -> Millis {
         self.start.elapsed().into()
     }
@@ -175,7 +175,7 @@
         &self.settings.name
     }
 
-    /// The name of the cell, which is the data centre's.
+    /// The name of the data centre, which is also the cell's.
     pub fn centre(&self) -> &str {
         &self.settings.data_centre
     }
@@ -186,60 +186,60 @@
     }
 
     /// The age of the newest log read.
-    pub fn age(&self) -> Millis {
+    pub fn log_age(&self) -> Millis {
         let now = self.now();
         self.cell(|c| c.read.map_or(Millis(u64::MAX), |r| now.since(r.sent)))
     }
 
     /// Whether this host is in contact with the log.
-    pub fn lit(&self) -> bool {
-        self.age() < FRESH
+    pub fn online(&self) -> bool {
+        self.log_age() < MAX_AGE
     }
 
-    /// The log's clock as it should be by now.
+    /// Estimates the log's current clock; `None` before the first read.
     pub fn log_now(&self) -> Option<Millis> {
         let now = self.now();
         self.cell(|c| c.log_time.map(|(log, at)| log + now.since(at)))
     }
 
-    /// Puts a change of contact with the log or a peer into the time line.
-    pub fn note_contact(&self, was: &mut bool, is: bool, with: &str) {
+    /// Logs a change of contact with the log or a peer and adds it to the time line.
+    pub fn record_contact(&self, was: &mut bool, is: bool, with: &str) {
         if *was != is {
-            let word = if is { "in contact with" } else { "no contact with" };
-            log::info!("log: {word} {with}");
-            self.ring.add("log", format!("{word} {with}"));
+            let change = if is { "in contact with" } else { "no contact with" };
+            log::info!("log: {change} {with}");
+            self.events.add("log", format!("{change} {with}"));
         }
         *was = is;
     }
 
-    /// The time between two pulses: longer with many peers, so that the bytes stay the same.
+    /// Time between two pulses, proportional to the number of peers to keep traffic constant.
     pub fn pulse_period(&self) -> Millis {
         let peers = self.peers(|p| p.scheds.len() as u64);
-        PULSE.max(Millis(peers * PULSE_EACH.0))
+        PULSE_PERIOD.max(Millis(peers * PULSE_PER_PEER.0))
     }
 
-    /// The age beyond which a peer's word counts for nothing.
-    fn peer_limit(&self) -> Millis {
-        FRESH.max(Millis(3 * self.pulse_period().0))
+    /// Age beyond which a peer's pulse is ignored.
+    fn max_pulse_age(&self) -> Millis {
+        MAX_AGE.max(Millis(3 * self.pulse_period().0))
     }
 
-    /// Tells waiting tasks that something changed.
-    pub fn wake(&self) {
+    /// Wakes the loops that wait for a change.
+    pub fn notify(&self) {
         self.changed.send_modify(|n| *n += 1);
     }
 
-    /// The scheds of the data centre that share the duties, as far as known.
+    /// Returns the scheds of the data centre among which duties are divided.
     ///
-    /// A host in contact with the log leaves out those that are not; one without counts all that
-    /// answer, so that an outage of the log moves no duties.
+    /// A host in contact with the log leaves out peers that are not; a host without contact counts
+    /// all peers that answer, so that an outage of the log moves no duties.
     pub fn live(&self) -> Vec<String> {
         let now = self.now();
-        let lit = self.lit();
-        let limit = self.peer_limit();
+        let online = self.online();
+        let limit = self.max_pulse_age();
         let mut live = self.peers(|p| {
             let fresh = |peer: &Peer| {
                 let pulse = peer.pulse.as_ref();
-                pulse.is_some_and(|(p, at)| now.since(*at) < limit && (!lit || p.age < FRESH))
+                pulse.is_some_and(|(p, at)| now.since(*at) < limit && (!online || p.age < MAX_AGE))
             };
             let peers = p.scheds.iter().filter(|(_, peer)| fresh(peer));
             peers.map(|(name, _)| name.clone()).collect::<Vec<_>>()
@@ -248,13 +248,13 @@
         live
     }
 
-    /// Whether this host should do the duty named by `key`.
-    pub fn mine(&self, key: &str) -> bool {
+    /// Whether this host is elected for the duty named by `key`.
+    pub fn elected(&self, key: &str) -> bool {
         let live = self.live();
         myrtle_base::winner(live.iter().map(String::as_str), key) == Some(self.name())
     }
 
-    /// Gates that any sched heard of lately, with their lives.
+    /// Returns the gates that called any sched within the given time, with their incarnations.
     pub fn gates_seen(&self, within: Millis) -> Vec<GateSeen> {
         let now = self.now();
         self.peers(|p| {
@@ -263,16 +263,16 @@
                 boot: *boot,
                 age: now.since(*at),
             });
-            let told = p.scheds.values().filter_map(|s| s.pulse.as_ref());
-            let told = told.flat_map(|(pulse, at)| {
+            let reported = p.scheds.values().filter_map(|s| s.pulse.as_ref());
+            let reported = reported.flat_map(|(pulse, at)| {
                 let more = now.since(*at);
                 pulse.gates.iter().map(move |g| GateSeen { age: g.age + more, ..g.clone() })
             });
-            own.chain(told).filter(|g| g.age < within).collect()
+            own.chain(reported).filter(|g| g.age < within).collect()
         })
     }
 
-    /// The links of the other scheds of the data centre.
+    /// Returns links to the other scheds of the data centre.
     pub fn peer_links(&self) -> Vec<(String, Arc<Link<SchedPeerClient>>)> {
         self.peers(|p| p.scheds.iter().map(|(n, s)| (n.clone(), s.link.clone())).collect())
     }
--- a/crates/sched/src/views.rs
+++ b/crates/sched/src/views.rs
@@ -1,4 +1,4 @@
-//! What gates need to know of the cell.
+//! Builds the view of the cell that gates need to serve requests.
 
 use std::hash::{Hash, Hasher};
 
@@ -12,7 +12,7 @@
 use crate::tables::Tables;
 
 impl Tables {
-    /// What a gate does not know yet.
+    /// Returns the parts of the view that changed since those in `known`.
     pub fn gate_view(&self, known: &Known) -> GateView {
         let platform = self.config(|c| {
             let scoped = c.scopes.get(PLATFORM)?;
@@ -21,7 +21,7 @@
         let peering = self.peering();
         let mark = mark(&peering);
         GateView {
-            stamp: self.ring.clock().tick(),
+            stamp: self.events.clock().tick(),
             platform,
             mark,
             peering: (mark != known.mark).then_some(peering),
@@ -36,8 +36,8 @@
                 let own = |h: &&Host| h.role == Role::Worker && h.data_centre == self.centre();
                 let upstreams = p.hosts.iter().filter(own).filter(|h| !h.service.is_empty());
                 let drained = |h: &Host| {
-                    let no = c.cell.worker_named(&h.name);
-                    no.is_some_and(|no| c.cell.workers[no as usize].leaving)
+                    let number = c.cell.worker_named(&h.name);
+                    number.is_some_and(|number| c.cell.workers[number as usize].leaving)
                 };
                 Peering {
                     next: c.cell.next,
@@ -60,7 +60,7 @@
     }
 }
 
-/// A hash over what matters to gates; the offset alone does not.
+/// Hashes the view without its offset, which changes even when nothing relevant to gates does.
 fn mark(peering: &Peering) -> u64 {
     let mut hasher = Xxh3Default::new();
     peering.units.hash(&mut hasher);
--- a/crates/sched/tests/common/mod.rs
+++ b/crates/sched/tests/common/mod.rs
@@ -1,4 +1,4 @@
-//! A cell of three scheds over stand-ins.
+//! A cell of three scheds on stand-ins of the platform.
 
 #![allow(dead_code)]
 
@@ -12,11 +12,11 @@
 use myrtle_sched::Sched;
 use myrtle_standin::{Control, Plan, Run, Summary, WorkerMode, World};
 
-/// The data centre.
+/// Name of the data centre.
 pub const CENTRE: &str = "attiki-a";
 
-/// How long an operator waits for an answer.
-pub const LIMIT: Duration = Duration::from_secs(20);
+/// Timeout of an operator's request.
+pub const TIMEOUT: Duration = Duration::from_secs(20);
 
 /// A cell of three scheds.
 pub struct Site {
@@ -40,12 +40,12 @@
         self.scheds.push(myrtle_sched::start(settings).await.unwrap());
     }
 
-    pub fn order(&self, control: Control) {
+    pub fn control(&self, control: Control) {
         self.world.control(control).unwrap();
     }
 
     pub fn worker(&self, n: usize, mode: WorkerMode) {
-        self.order(Control::Worker(format!("{CENTRE}-w{n:02}"), mode));
+        self.control(Control::Worker(format!("{CENTRE}-w{n:02}"), mode));
     }
 
     pub fn runs(&self) -> Vec<Run> {
@@ -60,16 +60,16 @@
         self.runs().iter().filter(|r| r.end == Some(RunState::Done)).count()
     }
 
-    pub async fn ask(&self, sched: usize, path: &str) -> Value {
-        Caller::default().get(self.scheds[sched].http, path, LIMIT).await.unwrap()
+    pub async fn get(&self, sched: usize, path: &str) -> Value {
+        Caller::default().get(self.scheds[sched].http, path, TIMEOUT).await.unwrap()
     }
 
     pub async fn post(&self, sched: usize, path: &str, body: &Value) -> Value {
-        Caller::default().post(self.scheds[sched].http, path, body, LIMIT).await.unwrap()
+        Caller::default().post(self.scheds[sched].http, path, body, TIMEOUT).await.unwrap()
     }
 
-    /// Nothing ran or ended twice, no worker was given too much, no confirmed work was lost.
-    pub fn judge(&self) -> Summary {
+    /// Asserts that no task ran or ended twice, no worker was overcommitted and no confirmed work was lost.
+    pub fn check_runs(&self) -> Summary {
         let seen = self.world.record.summary();
         assert_eq!(seen.doubled_tasks, Vec::<String>::new());
         assert_eq!(seen.done_twice, Vec::<String>::new());
@@ -79,7 +79,7 @@
     }
 }
 
-/// The desired state with some jobs.
+/// Returns the desired state with the given jobs.
 pub fn desired(jobs: &str) -> String {
     let token = hash_token("t");
     format!(
@@ -91,7 +91,7 @@
     )
 }
 
-/// One job of the desired state; without a run time it is a watcher.
+/// Returns one job of the desired state, a watcher if `run_time` is empty.
 pub fn job(name: &str, class: &str, tasks: u32, cores: u32, run_time: &str) -> String {
     let run_time = match run_time {
         "" => "watcher: true".to_string(),
@@ -104,24 +104,24 @@
     )
 }
 
-/// The stand-ins with some workers.
+/// Returns a plan of stand-ins with the given number of workers.
 pub fn plan(workers: usize) -> Plan {
     Plan { workers, ..Plan::default() }
 }
 
-/// How far the clock of a test in virtual time goes on at once.
+/// Step by which the virtual clock advances.
 const STEP: Duration = Duration::from_millis(5);
 
-/// How long sockets, which know no virtual time, have to settle before each step.
+/// Real time before each step for sockets, which do not follow the virtual clock, to deliver bytes.
 const SETTLE: Duration = Duration::from_micros(400);
 
-/// Moves the paused clock on until the test ends.
+/// Advances the paused clock until the test ends.
 ///
-/// The clock of an idle runtime would leap to the next timeout while bytes are on their way.
-pub fn pace() {
+/// An idle runtime would advance it to the next timeout while bytes are in transit.
+pub fn advance_clock() {
     tokio::spawn(async {
         loop {
-            // A blocking task under way keeps the clock from leaping.
+            // A running blocking task keeps the runtime from advancing the clock.
             let _ = tokio::task::spawn_blocking(|| std::thread::sleep(SETTLE)).await;
             tokio::time::advance(STEP).await;
         }
