--- a/crates/base/src/clock.rs
+++ b/crates/base/src/clock.rs
@@ -50,7 +50,7 @@
     }
 
     /// Advances the clock to the stamp of a received message.
-    pub fn merge(&self, stamp: Stamp) {
+    pub fn advance(&self, stamp: Stamp) {
         self.last.fetch_max(stamp.0, Ordering::AcqRel);
     }
 }
--- a/crates/base/src/kind.rs
+++ b/crates/base/src/kind.rs
@@ -76,7 +76,8 @@
     /// The host is stopping or has no configuration or lease yet.
     NotReady = "not_ready", 503, No, "repeat it at another host";
     /// The coordinator of the key is unreachable; an earlier request with the key may have run.
-    NoKeeper = "no_keeper", 503, Unknown, "this sending was not run; come back with the same key";
+    #[serde(rename = "no_keeper")]
+    NoCoordinator = "no_keeper", 503, Unknown, "this sending was not run; come back with the same key";
     /// The key is not a recent version 7 UUID.
     BadKey = "bad_key", 400, No, "send a fresh version 7 UUID as 'idempotency-key'";
     /// A request with the same key is running.
--- a/crates/base/src/lib.rs
+++ b/crates/base/src/lib.rs
@@ -13,7 +13,7 @@
 pub use kind::{Kind, Ran};
 pub use rendezvous::{rank, winner};
 pub use room::Room;
-pub use silence::Doubt;
+pub use silence::SilenceDetector;
 pub use span::Millis;
 
 /// The duration of a lease from the log read that it is based on.
--- a/crates/base/src/room.rs
+++ b/crates/base/src/room.rs
@@ -40,7 +40,7 @@
     }
 
     /// The difference to `other`, at least 0 in every dimension.
-    pub fn less(&self, other: &Room) -> Room {
+    pub fn minus(&self, other: &Room) -> Room {
         Room {
             cpu: self.cpu.saturating_sub(other.cpu),
             mem: self.mem.saturating_sub(other.mem),
--- a/crates/base/src/silence.rs
+++ b/crates/base/src/silence.rs
@@ -22,7 +22,7 @@
 
 /// Finds silent connections to an address from the times of calls and answers.
 #[derive(Debug)]
-pub struct Doubt {
+pub struct SilenceDetector {
     patience: Duration,
     waiting: BTreeMap<u64, Call>,
     next: u64,
@@ -75,13 +75,13 @@
     }
 }
 
-impl Default for Doubt {
+impl Default for SilenceDetector {
     fn default() -> Self {
         Self::new()
     }
 }
 
-impl Doubt {
+impl SilenceDetector {
     /// A detector without calls.
     pub fn new() -> Self {
         Self {
@@ -124,7 +124,7 @@
     }
 
     /// Removes a call that was cancelled without an answer.
-    pub fn given_up(&mut self, number: u64, now: Instant) {
+    pub fn cancelled(&mut self, number: u64, now: Instant) {
         let Some(call) = self.waiting.remove(&number) else {
             return;
         };
@@ -151,7 +151,7 @@
     }
 
     /// Connections that last received data before the returned instant are suspect and must not be used any more.
-    pub fn before(&self, now: Instant) -> Option<Instant> {
+    pub fn suspect_before(&self, now: Instant) -> Option<Instant> {
         let waiting = self.waiting.values().filter(|w| w.overdue(self.patience, now));
         waiting.map(|w| w.began).chain(self.suspect_before).max()
     }
--- a/crates/base/tests/silence.rs
+++ b/crates/base/tests/silence.rs
@@ -2,20 +2,20 @@
 
 use std::time::{Duration, Instant};
 
-use myrtle_base::Doubt;
+use myrtle_base::SilenceDetector;
 
 const fn ms(ms: u64) -> Duration {
     Duration::from_millis(ms)
 }
 
 /// Makes consecutive calls of duration `took`; returns how many made their connection suspect while they waited.
-fn suspicions(silence: &mut Doubt, start: Instant, took: Duration, calls: u32) -> usize {
+fn suspicions(silence: &mut SilenceDetector, start: Instant, took: Duration, calls: u32) -> usize {
     let mut suspicions = 0;
     for n in 0..calls {
         let began = start + 2 * n * took;
         let number = silence.sent(Duration::ZERO, true, true, began);
         let end = began + took;
-        suspicions += usize::from(silence.before(end) == Some(began));
+        suspicions += usize::from(silence.suspect_before(end) == Some(began));
         silence.answered(number, start, end);
     }
     suspicions
@@ -24,47 +24,47 @@
 #[test]
 fn a_slow_peer_is_suspected_once() {
     let start = Instant::now();
-    let mut silence = Doubt::new();
+    let mut silence = SilenceDetector::new();
     assert_eq!(suspicions(&mut silence, start, ms(300), 1_000), 1);
 }
 
 #[test]
 fn a_peer_that_became_quick_is_suspected_soon() {
     let start = Instant::now();
-    let mut silence = Doubt::new();
+    let mut silence = SilenceDetector::new();
     suspicions(&mut silence, start, ms(300), 10);
     let quick = start + ms(10_000);
     assert_eq!(suspicions(&mut silence, quick, ms(5), 100), 0);
     let sent = quick + ms(10_000);
     silence.sent(Duration::ZERO, true, true, sent);
-    assert_eq!(silence.before(sent + ms(200)), Some(sent));
+    assert_eq!(silence.suspect_before(sent + ms(200)), Some(sent));
 }
 
 #[test]
 fn a_requested_wait_makes_nothing_suspect() {
     let start = Instant::now();
-    let mut silence = Doubt::new();
+    let mut silence = SilenceDetector::new();
     silence.sent(ms(2_000), true, true, start);
-    assert_eq!(silence.before(start + ms(2_000)), None);
-    assert_eq!(silence.before(start + ms(2_200)), Some(start));
+    assert_eq!(silence.suspect_before(start + ms(2_000)), None);
+    assert_eq!(silence.suspect_before(start + ms(2_200)), Some(start));
 }
 
 #[test]
 fn a_call_on_a_new_connection_makes_no_other_suspect() {
     let start = Instant::now();
-    let mut silence = Doubt::new();
+    let mut silence = SilenceDetector::new();
     let number = silence.sent(Duration::ZERO, true, false, start);
-    assert_eq!(silence.before(start + ms(5_000)), None);
-    silence.given_up(number, start + ms(5_000));
-    assert_eq!(silence.before(start + ms(5_000)), None);
+    assert_eq!(silence.suspect_before(start + ms(5_000)), None);
+    silence.cancelled(number, start + ms(5_000));
+    assert_eq!(silence.suspect_before(start + ms(5_000)), None);
 }
 
 #[test]
 fn only_an_answer_on_a_newer_connection_proves_silence() {
     let start = Instant::now();
-    let mut silence = Doubt::new();
+    let mut silence = SilenceDetector::new();
     let lost = silence.sent(Duration::ZERO, true, true, start + ms(10));
-    silence.given_up(lost, start + ms(610));
+    silence.cancelled(lost, start + ms(610));
     let old = silence.sent(Duration::ZERO, true, true, start + ms(620));
     assert_eq!(silence.answered(old, start, start + ms(625)), None);
     let new = silence.sent(Duration::ZERO, true, false, start + ms(630));
@@ -76,10 +76,10 @@
 #[test]
 fn an_unanswered_write_makes_suspect_but_proves_no_silence() {
     let start = Instant::now();
-    let mut silence = Doubt::new();
+    let mut silence = SilenceDetector::new();
     let write = silence.sent(Duration::ZERO, false, true, start);
-    silence.given_up(write, start + ms(600));
-    assert_eq!(silence.before(start + ms(600)), Some(start));
+    silence.cancelled(write, start + ms(600));
+    assert_eq!(silence.suspect_before(start + ms(600)), Some(start));
     let new = silence.sent(Duration::ZERO, true, false, start + ms(610));
     assert_eq!(silence.answered(new, start + ms(609), start + ms(615)), None);
 }
@@ -89,37 +89,37 @@
 #[test]
 fn short_unanswered_calls_add_up() {
     let start = Instant::now();
-    let mut silence = Doubt::new();
+    let mut silence = SilenceDetector::new();
     let first = start + ms(10);
     for n in 0..2 {
         let began = first + n * ms(100);
         let number = silence.sent(Duration::ZERO, true, true, began);
-        assert_eq!(silence.before(began), None, "call {n}");
-        silence.given_up(number, began + ms(100));
+        assert_eq!(silence.suspect_before(began), None, "call {n}");
+        silence.cancelled(number, began + ms(100));
     }
-    assert_eq!(silence.before(first + ms(200)), Some(first));
+    assert_eq!(silence.suspect_before(first + ms(200)), Some(first));
 }
 
 #[test]
 fn concurrent_short_calls_count_once() {
     let start = Instant::now();
-    let mut silence = Doubt::new();
+    let mut silence = SilenceDetector::new();
     let numbers: Vec<_> =
         (0..20).map(|_| silence.sent(Duration::ZERO, true, true, start)).collect();
-    numbers.into_iter().for_each(|n| silence.given_up(n, start + ms(100)));
-    assert_eq!(silence.before(start + ms(100)), None, "100 ms is within the patience");
+    numbers.into_iter().for_each(|n| silence.cancelled(n, start + ms(100)));
+    assert_eq!(silence.suspect_before(start + ms(100)), None, "100 ms is within the patience");
 }
 
 #[test]
 fn an_answer_between_short_calls_clears_the_connection() {
     let start = Instant::now();
-    let mut silence = Doubt::new();
+    let mut silence = SilenceDetector::new();
     for n in 0..20 {
         let began = start + n * ms(200);
         let lost = silence.sent(Duration::ZERO, true, true, began);
-        silence.given_up(lost, began + ms(100));
+        silence.cancelled(lost, began + ms(100));
         let answered = silence.sent(Duration::ZERO, true, true, began + ms(100));
         silence.answered(answered, start, began + ms(105));
-        assert_eq!(silence.before(began + ms(110)), None, "call {n}");
+        assert_eq!(silence.suspect_before(began + ms(110)), None, "call {n}");
     }
 }
--- a/crates/cell/src/deny.rs
+++ b/crates/cell/src/deny.rs
@@ -20,7 +20,7 @@
     Missing,
     /// The command is about an earlier incarnation, version or attempt.
     #[display("it is about an earlier life, version or attempt")]
-    Old,
+    Outdated,
     /// The current state doesn't permit the command.
     #[display("the task's state does not allow it")]
     State,
--- a/crates/cell/src/fold.rs
+++ b/crates/cell/src/fold.rs
@@ -2,7 +2,7 @@
 
 use myrtle_base::{GUARD, LEASE, Millis};
 
-use crate::{Batch, Cell, Deny, Health, Op, Snapshot, Subject};
+use crate::{Batch, Cell, Deny, Health, LeaseHolder, Op, Snapshot};
 
 /// How long a writer's last sequence number is remembered, in log time: longer than until any batch expires, so that
 /// a repeated batch is always recognised.
@@ -17,7 +17,7 @@
         if offset < self.next {
             return vec![Err(Deny::Repeated); batch.ops.len()];
         }
-        self.pass(offset, time);
+        self.skip(offset, time);
         if let Some(deny) = self.repeated(batch) {
             return vec![Err(deny); batch.ops.len()];
         }
@@ -26,7 +26,7 @@
     }
 
     /// Skips a record without commands; `time` is when the log received it.
-    pub fn pass(&mut self, offset: u64, time: Millis) {
+    pub fn skip(&mut self, offset: u64, time: Millis) {
         self.next = self.next.max(offset + 1);
         self.now = self.now.max(time);
         let now = self.now;
@@ -35,7 +35,7 @@
     }
 
     /// Replaces the state by a newer snapshot; false if `snapshot` is not newer.
-    pub fn adopt(&mut self, snapshot: Snapshot) -> bool {
+    pub fn catch_up(&mut self, snapshot: Snapshot) -> bool {
         let newer = snapshot.cell.next > self.next;
         if newer {
             *self = snapshot.cell;
@@ -44,12 +44,12 @@
     }
 
     /// Whether a batch of this writer was applied, by which a writer recovers from a lost answer.
-    pub fn folded(&self, writer: u64, seq: u64) -> bool {
+    pub fn is_applied(&self, writer: u64, seq: u64) -> bool {
         self.writers.get(&writer).is_some_and(|w| w.0 >= seq)
     }
 
     fn repeated(&self, batch: &Batch) -> Option<Deny> {
-        if self.folded(batch.writer, batch.seq) {
+        if self.is_applied(batch.writer, batch.seq) {
             return Some(Deny::Repeated);
         }
         (self.now > batch.expires).then_some(Deny::Expired)
@@ -58,27 +58,31 @@
     fn apply(&mut self, offset: u64, op: &Op) -> Result<(), Deny> {
         match op {
             Op::Genesis { hosts } => self.set_voters(hosts),
-            Op::Worker { name, rack, room, boot } => self.add_worker(name, rack, room, *boot),
+            Op::Worker { name, rack, room, incarnation } => {
+                self.add_worker(name, rack, room, *incarnation)
+            }
             Op::Drain { worker, on } => self.set_draining(*worker, *on),
             Op::Job { name, version, spec } => self.add_job(name, *version, spec),
             Op::Remove { name, version } => self.remove_job(name, *version),
             Op::Cancel { jobs } => self.cancel_all(jobs),
             Op::Claim { task, attempt, worker } => self.claim(*task, *attempt, *worker),
             Op::Started { task, attempt } => self.started(*task, *attempt),
-            Op::Mark { task, attempt, checkpoint } => self.mark(*task, *attempt, *checkpoint),
-            Op::Stop { task, attempt, why } => self.stop(*task, *attempt, *why),
+            Op::Checkpoint { task, attempt, checkpoint } => {
+                self.checkpoint(*task, *attempt, *checkpoint)
+            }
+            Op::Stop { task, attempt, reason } => self.stop(*task, *attempt, *reason),
             Op::End { task, attempt, end } => self.end(*task, *attempt, *end),
             Op::Resize { job, room } => self.resize_job(*job, room),
             Op::Release { task } => self.release(*task),
-            Op::Gate { name, boot } => self.add_gate(name, *boot),
-            Op::Leave { gate, boot } => self.leave_gate(gate, *boot),
-            Op::Keep { unit, gate } => self.assign_unit(unit, gate),
-            Op::Hand { unit, from, to } => self.reassign_unit(unit, from, to),
-            Op::Suspect { subject } => self.suspect(offset, subject),
-            Op::Clear { subject } => self.clear(subject),
-            Op::Lapse { subject, suspected, consents } => self.lapse(subject, *suspected, consents),
-            Op::Used { gate, boot, party, class, requests, busy } => {
-                self.count_usage(gate, *boot, (party, class), *requests, *busy)
+            Op::Gate { name, incarnation } => self.add_gate(name, *incarnation),
+            Op::Leave { gate, incarnation } => self.leave_gate(gate, *incarnation),
+            Op::Assign { resource, gate } => self.assign_resource(resource, gate),
+            Op::Reassign { resource, from, to } => self.reassign_resource(resource, from, to),
+            Op::Suspect { holder } => self.suspect(offset, holder),
+            Op::Clear { holder } => self.clear(holder),
+            Op::Lapse { holder, suspected, consents } => self.lapse(holder, *suspected, consents),
+            Op::Used { gate, incarnation, customer, class, requests, busy } => {
+                self.count_usage(gate, *incarnation, (customer, class), *requests, *busy)
             }
         }
     }
@@ -101,9 +105,9 @@
         verdict
     }
 
-    fn suspect(&mut self, offset: u64, subject: &Subject) -> Result<(), Deny> {
+    fn suspect(&mut self, offset: u64, holder: &LeaseHolder) -> Result<(), Deny> {
         let since = self.now;
-        let health = self.health_mut(subject).ok_or(Deny::Missing)?;
+        let health = self.health_mut(holder).ok_or(Deny::Missing)?;
         if *health != Health::Up {
             return Err(Deny::State);
         }
@@ -111,8 +115,8 @@
         Ok(())
     }
 
-    fn clear(&mut self, subject: &Subject) -> Result<(), Deny> {
-        let health = self.health_mut(subject).ok_or(Deny::Missing)?;
+    fn clear(&mut self, holder: &LeaseHolder) -> Result<(), Deny> {
+        let health = self.health_mut(holder).ok_or(Deny::Missing)?;
         if !matches!(health, Health::Suspect { .. }) {
             return Err(Deny::State);
         }
@@ -122,16 +126,16 @@
 
     fn lapse(
         &mut self,
-        subject: &Subject,
+        holder: &LeaseHolder,
         suspected: u64,
         consents: &[String],
     ) -> Result<(), Deny> {
         let now = self.now;
         let has_majority = self.majority(consents);
-        let health = self.health_mut(subject).ok_or(Deny::Missing)?;
+        let health = self.health_mut(holder).ok_or(Deny::Missing)?;
         let Health::Suspect { offset, since } = *health else { return Err(Deny::State) };
         if offset != suspected {
-            return Err(Deny::Old);
+            return Err(Deny::Outdated);
         }
         if now.since(since) < LEASE + GUARD {
             return Err(Deny::Early);
@@ -140,18 +144,18 @@
             return Err(Deny::Minority);
         }
         *health = Health::Lapsed;
-        match subject {
-            Subject::Worker(no) => self.free_worker(*no, false),
+        match holder {
+            LeaseHolder::Worker(no) => self.free_worker(*no, false),
             // Its last lease ended at least one guard time ago.
-            Subject::Gate(name) => self.free_units(name, now - GUARD),
+            LeaseHolder::Gate(name) => self.free_resources(name, now - GUARD),
         }
         Ok(())
     }
 
-    fn health_mut(&mut self, subject: &Subject) -> Option<&mut Health> {
-        match subject {
-            Subject::Worker(no) => self.workers.get_mut(*no as usize).map(|w| &mut w.health),
-            Subject::Gate(name) => self.gates.get_mut(name).map(|g| &mut g.health),
+    fn health_mut(&mut self, holder: &LeaseHolder) -> Option<&mut Health> {
+        match holder {
+            LeaseHolder::Worker(no) => self.workers.get_mut(*no as usize).map(|w| &mut w.health),
+            LeaseHolder::Gate(name) => self.gates.get_mut(name).map(|g| &mut g.health),
         }
     }
 }
--- a/crates/cell/src/job.rs
+++ b/crates/cell/src/job.rs
@@ -4,9 +4,9 @@
 use serde::{Deserialize, Serialize};
 
 use myrtle_base::{Millis, Room};
-use myrtle_config::WhenCut;
+use myrtle_config::OnUnreachable;
 
-use crate::{Cell, Deny, Job, State, Task, TaskId, TaskResult, Why};
+use crate::{Cell, Deny, Job, State, StopReason, Task, TaskId, TaskResult};
 
 /// How long a closed job stays in the state, in log time.
 const RETENTION: Millis = Millis(10 * 60 * 1000);
@@ -15,7 +15,7 @@
 #[derive(Debug, Clone, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Spec {
     /// The customer that pays.
-    pub party: String,
+    pub customer: String,
     /// The priority class.
     pub class: String,
     /// The price of the class; tasks with a higher price go first.
@@ -29,14 +29,14 @@
     /// The expected run time; none for a long-running job.
     pub run_time: Option<Millis>,
     /// What happens to a task whose worker is unreachable.
-    pub when_cut: WhenCut,
+    pub on_unreachable: OnUnreachable,
     /// The number of failed attempts at which a task fails.
     pub failures: u16,
 }
 
 impl Spec {
     /// Whether the tasks are long-running.
-    pub fn watcher(&self) -> bool {
+    pub fn long_running(&self) -> bool {
         self.run_time.is_none()
     }
 }
@@ -63,7 +63,7 @@
     pub(crate) fn add_job(&mut self, name: &str, version: u64, spec: &Spec) -> Result<(), Deny> {
         if let Some((previous, job)) = self.job_named(name) {
             if job.version >= version {
-                return Err(Deny::Old);
+                return Err(Deny::Outdated);
             }
             if job.state == JobState::Open {
                 self.close_job(previous, JobState::Removed)?;
@@ -73,7 +73,7 @@
         self.next_job += 1;
         let state = self.initial_state(spec);
         let open = if state == JobState::Open { spec.tasks } else { 0 };
-        let closed = (open == 0).then_some(self.now);
+        let closed_at = (open == 0).then_some(self.now);
         for index in 0..open {
             let task = Task { since: self.now, ..Task::default() };
             self.tasks.insert(TaskId::new(no, index), task);
@@ -90,7 +90,7 @@
             open,
             done: 0,
             failed_workers: Vec::new(),
-            closed,
+            closed_at,
         };
         self.jobs.insert(no, job);
         Ok(())
@@ -100,7 +100,7 @@
     pub(crate) fn remove_job(&mut self, name: &str, version: u64) -> Result<(), Deny> {
         let (no, job) = self.job_named(name).ok_or(Deny::Missing)?;
         if job.version >= version {
-            return Err(Deny::Old);
+            return Err(Deny::Outdated);
         }
         self.close_job(no, JobState::Removed)
     }
@@ -139,7 +139,7 @@
     /// Removes jobs that closed more than [`RETENTION`] ago, with their tasks.
     pub(crate) fn forget_jobs(&mut self) {
         let now = self.now;
-        let is_old = |j: &Job| j.closed.is_some_and(|at| now.since(at) > RETENTION);
+        let is_old = |j: &Job| j.closed_at.is_some_and(|at| now.since(at) > RETENTION);
         let expired: Vec<u32> = self.jobs.iter().filter(|j| is_old(j.1)).map(|j| *j.0).collect();
         for no in expired {
             self.jobs.remove(&no);
@@ -157,7 +157,7 @@
         job.open -= 1;
         job.done += u32::from(result == TaskResult::Done);
         if job.open == 0 {
-            job.closed = Some(now);
+            job.closed_at = Some(now);
         }
     }
 
@@ -181,7 +181,7 @@
                 self.close_task(id, TaskResult::Cancelled);
             }
             State::Claimed(worker) | State::Running(worker) | State::Stopping(worker, _) => {
-                task.state = State::Stopping(worker, Why::Cancel);
+                task.state = State::Stopping(worker, StopReason::Cancel);
                 task.since = now;
             }
             State::Over(_) => {}
--- a/crates/cell/src/lease.rs
+++ b/crates/cell/src/lease.rs
@@ -13,25 +13,25 @@
 
 /// A log read that confirmed the fold as up to date.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
-pub struct Read {
+pub struct LogRead {
     /// When the read was sent, by the reader's clock.
-    pub sent: Millis,
+    pub sent_at: Millis,
 }
 
 /// A lease of a worker or gate.
 #[derive(
     Debug, Default, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
-pub struct Grant {
+pub struct Lease {
     /// When the lease ends, by the holder's clock.
     pub until: Millis,
 }
 
-impl Read {
+impl LogRead {
     /// The lease of a holder whose clock showed `stamp` in a message that arrived at `arrived` by the reader's
     /// clock; none if the read is too old.
-    pub fn grant(&self, stamp: Millis, arrived: Millis) -> Option<Grant> {
-        let age = arrived.since(self.sent);
-        (age < LEASE).then(|| Grant { until: stamp + LEASE - age })
+    pub fn grant(&self, stamp: Millis, arrived: Millis) -> Option<Lease> {
+        let age = arrived.since(self.sent_at);
+        (age < LEASE).then(|| Lease { until: stamp + LEASE - age })
     }
 }
--- a/crates/cell/src/op.rs
+++ b/crates/cell/src/op.rs
@@ -28,7 +28,7 @@
 
 /// The holder of a lease.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Hash, Display, Serialize, Deserialize)]
-pub enum Subject {
+pub enum LeaseHolder {
     /// A worker, by its number.
     #[display("worker {_0}")]
     Worker(u32),
@@ -39,13 +39,13 @@
 
 /// A resource that exactly one gate of the data centre coordinates at a time.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Hash, Display, Serialize, Deserialize)]
-pub enum Unit {
+pub enum Resource {
     /// The slots and connections of an upstream.
     #[display("upstream {_0}")]
     Upstream(String),
     /// The rate limit of a customer in this data centre.
     #[display("party {_0}")]
-    Party(String),
+    Customer(String),
     /// A bucket of idempotency keys.
     #[display("keys {_0}")]
     Keys(u16),
@@ -53,7 +53,7 @@
 
 /// The reason for stopping an attempt.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, Display, Serialize, Deserialize)]
-pub enum Why {
+pub enum StopReason {
     /// Its job was cancelled.
     #[display("cancelled")]
     Cancel,
@@ -65,7 +65,7 @@
     Pressure,
     /// A task with a higher price needs its room.
     #[display("room for dearer work")]
-    Dearer,
+    HigherPrice,
     /// An operator asked for it.
     #[display("operator")]
     Operator,
@@ -99,7 +99,7 @@
         /// Its total room.
         room: Room,
         /// Its incarnation, larger after each restart.
-        boot: u64,
+        incarnation: u64,
     },
     /// Sets whether a worker is draining and gets no new tasks.
     Drain {
@@ -146,7 +146,7 @@
         attempt: u16,
     },
     /// Records a confirmed checkpoint.
-    Mark {
+    Checkpoint {
         /// The task.
         task: TaskId,
         /// The attempt.
@@ -161,7 +161,7 @@
         /// The attempt.
         attempt: u16,
         /// The reason.
-        why: Why,
+        reason: StopReason,
     },
     /// Confirms the end of an attempt.
     End {
@@ -189,26 +189,26 @@
         /// Its name.
         name: String,
         /// Its incarnation, larger after each restart.
-        boot: u64,
+        incarnation: u64,
     },
     /// Marks a gate as stopped; it coordinates nothing any more.
     Leave {
         /// The gate.
         gate: String,
         /// The incarnation that stops.
-        boot: u64,
+        incarnation: u64,
     },
     /// Makes a gate the coordinator of a free resource.
-    Keep {
+    Assign {
         /// The resource.
-        unit: Unit,
+        resource: Resource,
         /// The gate.
         gate: String,
     },
     /// Moves a resource with its state from its coordinator to another gate.
-    Hand {
+    Reassign {
         /// The resource.
-        unit: Unit,
+        resource: Resource,
         /// The current coordinator.
         from: String,
         /// The next coordinator.
@@ -217,17 +217,17 @@
     /// Suspects a worker or gate that a host can't reach.
     Suspect {
         /// The worker or gate.
-        subject: Subject,
+        holder: LeaseHolder,
     },
     /// Clears a suspicion, as a host reaches the worker or gate again.
     Clear {
         /// The worker or gate.
-        subject: Subject,
+        holder: LeaseHolder,
     },
     /// Declares a suspected worker or gate lapsed.
     Lapse {
         /// The worker or gate.
-        subject: Subject,
+        holder: LeaseHolder,
         /// The offset of the suspicion.
         suspected: u64,
         /// The hosts that promised to renew no lease of it.
@@ -238,9 +238,9 @@
         /// The gate.
         gate: String,
         /// Its incarnation.
-        boot: u64,
+        incarnation: u64,
         /// The customer.
-        party: String,
+        customer: String,
         /// The class.
         class: String,
         /// The number of requests answered by an upstream.
--- a/crates/cell/src/promise.rs
+++ b/crates/cell/src/promise.rs
@@ -9,13 +9,13 @@
 
 use myrtle_base::{GUARD, LEASE, Millis};
 
-use crate::{Cell, Health, Subject};
+use crate::{Cell, Health, LeaseHolder};
 
 /// The promises of one incarnation of a host, by its own clock.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 pub struct Promise {
     started_at: Millis,
-    allowed_at: BTreeMap<Subject, Millis>,
+    allowed_at: BTreeMap<LeaseHolder, Millis>,
 }
 
 impl Promise {
@@ -24,26 +24,30 @@
         Self { started_at: now, allowed_at: BTreeMap::new() }
     }
 
-    /// Promises that a lease of `subject` may be renewed without the log, unless `cell`, this host's newest state,
+    /// Promises that a lease of `holder` may be renewed without the log, unless `cell`, this host's newest state,
     /// shows a suspicion.
-    pub fn allow(&mut self, cell: &Cell, subject: &Subject, now: Millis) -> bool {
-        if cell.health(subject) != Some(Health::Up) {
+    pub fn allow_renewal(&mut self, cell: &Cell, holder: &LeaseHolder, now: Millis) -> bool {
+        if cell.health(holder) != Some(Health::Up) {
             return false;
         }
         self.allowed_at.retain(|_, at| now.since(*at) < LEASE + GUARD);
-        self.allowed_at.insert(subject.clone(), now);
+        self.allowed_at.insert(holder.clone(), now);
         true
     }
 
-    /// Promises that this host allows no renewal for `subject` from now on.
+    /// Promises that this host allows no renewal for `holder` from now on.
     ///
     /// The promise holds as the suspicion at offset `suspected` is in this host's fold, which never goes back.
-    pub fn consent(&self, cell: &Cell, subject: &Subject, suspected: u64, now: Millis) -> bool {
-        let health = cell.health(subject);
+    pub fn consent_lapse(
+        &self,
+        cell: &Cell,
+        holder: &LeaseHolder,
+        suspected: u64,
+        now: Millis,
+    ) -> bool {
+        let health = cell.health(holder);
         let suspect = matches!(health, Some(Health::Suspect { offset, .. }) if offset == suspected);
         let ended = |at: Millis| now.since(at) >= LEASE + GUARD;
-        suspect
-            && ended(self.started_at)
-            && self.allowed_at.get(subject).is_none_or(|at| ended(*at))
+        suspect && ended(self.started_at) && self.allowed_at.get(holder).is_none_or(|at| ended(*at))
     }
 }
--- a/crates/cell/src/query.rs
+++ b/crates/cell/src/query.rs
@@ -6,7 +6,7 @@
 
 use myrtle_base::Room;
 
-use crate::{Cell, Health, Job, State, Subject, Task, TaskId, Worker};
+use crate::{Cell, Health, Job, LeaseHolder, State, Task, TaskId, Worker};
 
 /// The number of tasks in each state.
 #[derive(Debug, Default, Clone, Copy, PartialEq, Eq, Serialize)]
@@ -41,37 +41,37 @@
     }
 
     /// The tasks that are assigned to a worker.
-    pub fn tasks_on(&self, worker: u32) -> impl Iterator<Item = (TaskId, &Task, &Job)> + '_ {
+    pub fn worker_tasks(&self, worker: u32) -> impl Iterator<Item = (TaskId, &Task, &Job)> + '_ {
         let ids = self.workers.get(worker as usize).into_iter().flat_map(|w| w.tasks.iter());
         ids.map(|id| (*id, &self.tasks[id], &self.jobs[&id.job]))
     }
 
     /// The pending tasks by falling price.
-    pub fn waiting(&self) -> impl Iterator<Item = (TaskId, &Task, &Job)> + '_ {
+    pub fn pending_tasks(&self) -> impl Iterator<Item = (TaskId, &Task, &Job)> + '_ {
         self.pending.iter().map(|(_, id)| (*id, &self.tasks[id], &self.jobs[&id.job]))
     }
 
     /// The health of a worker or gate; none if it is unknown.
-    pub fn health(&self, subject: &Subject) -> Option<Health> {
-        match subject {
-            Subject::Worker(no) => self.workers.get(*no as usize).map(|w| w.health),
-            Subject::Gate(name) => self.gates.get(name).map(|g| g.health),
+    pub fn health(&self, holder: &LeaseHolder) -> Option<Health> {
+        match holder {
+            LeaseHolder::Worker(no) => self.workers.get(*no as usize).map(|w| w.health),
+            LeaseHolder::Gate(name) => self.gates.get(name).map(|g| g.health),
         }
     }
 
     /// The suspected workers and gates with the offset of the suspicion.
-    pub fn suspects(&self) -> impl Iterator<Item = (Subject, u64)> + '_ {
+    pub fn suspects(&self) -> impl Iterator<Item = (LeaseHolder, u64)> + '_ {
         let offset = |h: &Health| match h {
             Health::Suspect { offset, .. } => Some(*offset),
             _ => None,
         };
         let workers = self.workers.iter().enumerate();
-        let workers =
-            workers.filter_map(move |(n, w)| Some((Subject::Worker(n as u32), offset(&w.health)?)));
+        let workers = workers
+            .filter_map(move |(n, w)| Some((LeaseHolder::Worker(n as u32), offset(&w.health)?)));
         let gates = self
             .gates
             .iter()
-            .filter_map(move |(n, g)| Some((Subject::Gate(n.clone()), offset(&g.health)?)));
+            .filter_map(move |(n, g)| Some((LeaseHolder::Gate(n.clone()), offset(&g.health)?)));
         workers.chain(gates)
     }
 
--- a/crates/cell/src/state.rs
+++ b/crates/cell/src/state.rs
@@ -6,7 +6,7 @@
 
 use myrtle_base::{Millis, Room};
 
-use crate::{JobState, Spec, State, TaskId, Unit};
+use crate::{JobState, Resource, Spec, State, TaskId};
 
 /// Whether the leases of a worker or gate may be renewed.
 #[derive(Debug, Default, Clone, Copy, PartialEq, Eq, Hash, Serialize, Deserialize)]
@@ -37,15 +37,15 @@
     /// The room of its attempts.
     pub used: Room,
     /// Its incarnation.
-    pub boot: u64,
+    pub incarnation: u64,
     /// Whether its leases may be renewed.
     pub health: Health,
     /// Whether it is draining and gets no new tasks.
-    pub leaving: bool,
+    pub draining: bool,
     /// The jobs of its latest consecutive failures.
     pub failures: Vec<u32>,
     /// The end of its backoff in log time, after which one probe task runs.
-    pub aside: Option<Millis>,
+    pub backoff_until: Option<Millis>,
     /// The tasks assigned to it.
     pub tasks: BTreeSet<TaskId>,
 }
@@ -70,14 +70,14 @@
     /// The first workers, at most two, on which one of its tasks failed.
     pub failed_workers: Vec<u32>,
     /// The log time of the end of its last task.
-    pub closed: Option<Millis>,
+    pub closed_at: Option<Millis>,
 }
 
 impl Job {
     /// The only worker on which its tasks failed, if there is exactly one.
     ///
     /// Either the worker or the job is at fault; the next attempt on another worker shows which.
-    pub fn doubtful(&self) -> Option<u32> {
+    pub fn sole_failure(&self) -> Option<u32> {
         match self.failed_workers[..] {
             [only] => Some(only),
             _ => None,
@@ -99,20 +99,20 @@
     /// The newest confirmed checkpoint.
     pub checkpoint: u32,
     /// The log time before which it can't be claimed.
-    pub wait: Millis,
+    pub not_before: Millis,
     /// The worker of its last failed attempt.
-    pub avoid: Option<u32>,
+    pub failed_worker: Option<u32>,
     /// The log time of its last change of state.
     pub since: Millis,
     /// The room of its current attempt.
-    pub given: Room,
+    pub reserved: Room,
 }
 
 /// A gate.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Gate {
     /// Its incarnation.
-    pub boot: u64,
+    pub incarnation: u64,
     /// Whether its leases may be renewed.
     pub health: Health,
     /// The usage of this incarnation that is already added to the totals, by customer and class.
@@ -121,7 +121,7 @@
 
 /// The coordinator of a resource.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, Serialize, Deserialize)]
-pub struct Keep {
+pub struct Coordinator {
     /// The gate.
     pub gate: String,
     /// The log time after which no earlier coordinator used the resource; 0 if there was none.
@@ -129,7 +129,7 @@
     /// Increases with each change of the coordinator.
     pub term: u64,
     /// Whether an earlier coordinator passed it on, whose allocations may still be in use.
-    pub handed: bool,
+    pub reassigned: bool,
 }
 
 /// Billed usage.
@@ -161,9 +161,9 @@
     /// The gates by name.
     pub gates: BTreeMap<String, Gate>,
     /// The coordinators of resources.
-    pub units: BTreeMap<Unit, Keep>,
+    pub resources: BTreeMap<Resource, Coordinator>,
     /// The log time after which the last coordinator of a free resource no longer used it.
-    pub freed: BTreeMap<Unit, Millis>,
+    pub freed_at: BTreeMap<Resource, Millis>,
     /// The usage by customer and class.
     pub usage: BTreeMap<(String, String), Usage>,
     pub(crate) next_job: u32,
--- a/crates/cell/src/task.rs
+++ b/crates/cell/src/task.rs
@@ -4,9 +4,9 @@
 use serde::{Deserialize, Serialize};
 
 use myrtle_base::Millis;
-use myrtle_config::WhenCut;
+use myrtle_config::OnUnreachable;
 
-use crate::{Cell, Deny, End, Health, JobState, TaskId, Why};
+use crate::{Cell, Deny, End, Health, JobState, StopReason, TaskId};
 
 /// The backoff after the first failure; it doubles with each further one.
 const MIN_BACKOFF: Millis = Millis(500);
@@ -29,7 +29,7 @@
     Running(u32),
     /// The worker has to stop it and hasn't confirmed the end.
     #[display("stopping on worker {_0}: {_1}")]
-    Stopping(u32, Why),
+    Stopping(u32, StopReason),
     /// It is over.
     #[display("{_0}")]
     Over(TaskResult),
@@ -68,16 +68,16 @@
             return Err(Deny::State);
         }
         if attempt != task.attempt + 1 {
-            return Err(Deny::Old);
+            return Err(Deny::Outdated);
         }
-        if self.now < task.wait {
+        if self.now < task.not_before {
             return Err(Deny::Backoff);
         }
         let holder = self.workers.get_mut(worker as usize).ok_or(Deny::Missing)?;
         if holder.health != Health::Up {
             return Err(Deny::Down);
         }
-        if !holder.takes(self.now) {
+        if !holder.accepts(self.now) {
             return Err(Deny::Unavailable);
         }
         if !job.room.fits(&holder.free()) {
@@ -85,7 +85,7 @@
         }
         holder.used += job.room;
         holder.tasks.insert(id);
-        task.given = job.room;
+        task.reserved = job.room;
         task.attempt = attempt;
         task.state = State::Claimed(worker);
         task.since = self.now;
@@ -99,7 +99,7 @@
         let task = self.tasks.get_mut(&id).ok_or(Deny::Missing)?;
         let State::Claimed(worker) = task.state else { return Err(Deny::State) };
         if attempt != task.attempt {
-            return Err(Deny::Old);
+            return Err(Deny::Outdated);
         }
         task.state = State::Running(worker);
         task.since = now;
@@ -107,10 +107,15 @@
     }
 
     /// Records a checkpoint of the attempt.
-    pub(crate) fn mark(&mut self, id: TaskId, attempt: u16, checkpoint: u32) -> Result<(), Deny> {
+    pub(crate) fn checkpoint(
+        &mut self,
+        id: TaskId,
+        attempt: u16,
+        checkpoint: u32,
+    ) -> Result<(), Deny> {
         let task = self.tasks.get_mut(&id).ok_or(Deny::Missing)?;
         if attempt != task.attempt || checkpoint <= task.checkpoint {
-            return Err(Deny::Old);
+            return Err(Deny::Outdated);
         }
         if task.state.worker().is_none() {
             return Err(Deny::State);
@@ -120,16 +125,21 @@
     }
 
     /// Requests the stop of an attempt.
-    pub(crate) fn stop(&mut self, id: TaskId, attempt: u16, why: Why) -> Result<(), Deny> {
+    pub(crate) fn stop(
+        &mut self,
+        id: TaskId,
+        attempt: u16,
+        reason: StopReason,
+    ) -> Result<(), Deny> {
         let now = self.now;
         let task = self.tasks.get_mut(&id).ok_or(Deny::Missing)?;
         if attempt != task.attempt {
-            return Err(Deny::Old);
+            return Err(Deny::Outdated);
         }
         let (State::Claimed(worker) | State::Running(worker)) = task.state else {
             return Err(Deny::State);
         };
-        task.state = State::Stopping(worker, why);
+        task.state = State::Stopping(worker, reason);
         task.since = now;
         Ok(())
     }
@@ -138,7 +148,7 @@
     pub(crate) fn end(&mut self, id: TaskId, attempt: u16, end: End) -> Result<(), Deny> {
         let task = self.tasks.get(&id).ok_or(Deny::Missing)?;
         if attempt != task.attempt {
-            return Err(Deny::Old);
+            return Err(Deny::Outdated);
         }
         let state = task.state;
         let worker = state.worker().ok_or(Deny::State)?;
@@ -176,7 +186,7 @@
     pub(crate) fn free_worker(&mut self, worker: u32, all: bool) {
         let ids: Vec<_> = self.workers[worker as usize].tasks.iter().copied().collect();
         for id in ids {
-            let yields = self.jobs[&id.job].spec.when_cut == WhenCut::Yield;
+            let yields = self.jobs[&id.job].spec.on_unreachable == OnUnreachable::Yield;
             if !all && !yields {
                 continue;
             }
@@ -196,13 +206,13 @@
     fn release_room(&mut self, id: TaskId, worker: u32, counted: bool) {
         let task = &self.tasks[&id];
         let holder = &mut self.workers[worker as usize];
-        holder.used = holder.used.less(&task.given);
+        holder.used = holder.used.minus(&task.reserved);
         holder.tasks.remove(&id);
         if !counted || matches!(task.state, State::Claimed(_)) {
             return;
         }
         let spec = &self.jobs[&id.job].spec;
-        let entry = self.usage.entry((spec.party.clone(), spec.class.clone())).or_default();
+        let entry = self.usage.entry((spec.customer.clone(), spec.class.clone())).or_default();
         entry.busy += self.now.since(task.since);
     }
 
@@ -215,7 +225,7 @@
         let task = self.tasks.get_mut(&id).expect("callers checked that the task exists");
         task.checkpoint = task.checkpoint.max(checkpoint);
         task.evictions += u16::from(matches!(previous, State::Stopping(..)));
-        task.wait = now;
+        task.not_before = now;
         self.enqueue(id);
     }
 
@@ -238,9 +248,9 @@
         let now = self.now;
         let task = self.tasks.get_mut(&id).expect("callers checked that the task exists");
         task.failures += 1;
-        task.avoid = Some(worker);
+        task.failed_worker = Some(worker);
         let backoff_ms = MIN_BACKOFF.0 << (task.failures - 1).min(16);
-        task.wait = now + Millis(backoff_ms.min(MAX_BACKOFF.0));
+        task.not_before = now + Millis(backoff_ms.min(MAX_BACKOFF.0));
         if !open {
             return self.finish(id, TaskResult::Cancelled);
         }
--- a/crates/cell/src/worker.rs
+++ b/crates/cell/src/worker.rs
@@ -20,12 +20,13 @@
 impl Worker {
     /// Its free room.
     pub fn free(&self) -> Room {
-        self.room.less(&self.used)
+        self.room.minus(&self.used)
     }
 
     /// Whether it accepts a task now: it is neither draining nor in backoff, or the task is the probe.
-    pub fn takes(&self, now: Millis) -> bool {
-        !self.leaving && self.aside.is_none_or(|until| now >= until && self.tasks.is_empty())
+    pub fn accepts(&self, now: Millis) -> bool {
+        !self.draining
+            && self.backoff_until.is_none_or(|until| now >= until && self.tasks.is_empty())
     }
 }
 
@@ -36,27 +37,27 @@
         name: &str,
         rack: &str,
         room: &Room,
-        boot: u64,
+        incarnation: u64,
     ) -> Result<(), Deny> {
         let Some(no) = self.worker_named(name) else {
-            self.workers.push(new_worker(name, rack, room, boot));
+            self.workers.push(new_worker(name, rack, room, incarnation));
             return Ok(());
         };
         let worker = &mut self.workers[no as usize];
-        if boot < worker.boot {
-            return Err(Deny::Old);
+        if incarnation < worker.incarnation {
+            return Err(Deny::Outdated);
         }
-        let same_boot = boot == worker.boot;
-        if same_boot && worker.health == Health::Up && worker.room == *room {
+        let same_incarnation = incarnation == worker.incarnation;
+        if same_incarnation && worker.health == Health::Up && worker.room == *room {
             return Err(Deny::State);
         }
         worker.health = Health::Up;
-        worker.boot = boot;
+        worker.incarnation = incarnation;
         worker.rack = rack.into();
-        if !same_boot {
+        if !same_incarnation {
             // A restarted worker runs nothing of its earlier incarnation.
             worker.failures.clear();
-            worker.aside = None;
+            worker.backoff_until = None;
             self.count_crash(no);
             self.free_worker(no, true);
         }
@@ -67,7 +68,7 @@
     /// Counts a worker's restart as a crash by the tasks that it had just started; gives up those with too many.
     fn count_crash(&mut self, no: u32) {
         let worker = &self.workers[no as usize];
-        if worker.leaving {
+        if worker.draining {
             return;
         }
         for id in worker.tasks.clone() {
@@ -90,10 +91,10 @@
     /// Sets whether a worker is draining.
     pub(crate) fn set_draining(&mut self, no: u32, on: bool) -> Result<(), Deny> {
         let worker = self.workers.get_mut(no as usize).ok_or(Deny::Missing)?;
-        if worker.leaving == on {
+        if worker.draining == on {
             return Err(Deny::State);
         }
-        worker.leaving = on;
+        worker.draining = on;
         Ok(())
     }
 
@@ -101,7 +102,7 @@
     pub(crate) fn record_success(&mut self, no: u32) {
         let worker = &mut self.workers[no as usize];
         worker.failures.clear();
-        worker.aside = None;
+        worker.backoff_until = None;
     }
 
     /// Counts a failure; [`MAX_FAILURES`] in a row that no faulty job explains put the worker into backoff.
@@ -114,23 +115,23 @@
         }
         let several_jobs = worker.failures.iter().any(|j| *j != job);
         if several_jobs || job_succeeds {
-            worker.aside = Some(self.now + WORKER_BACKOFF);
+            worker.backoff_until = Some(self.now + WORKER_BACKOFF);
         }
         worker.failures.remove(0);
     }
 }
 
-fn new_worker(name: &str, rack: &str, room: &Room, boot: u64) -> Worker {
+fn new_worker(name: &str, rack: &str, room: &Room, incarnation: u64) -> Worker {
     Worker {
         name: name.into(),
         rack: rack.into(),
         room: *room,
         used: Room::default(),
-        boot,
+        incarnation,
         health: Health::Up,
-        leaving: false,
+        draining: false,
         failures: Vec::new(),
-        aside: None,
+        backoff_until: None,
         tasks: Default::default(),
     }
 }
--- a/crates/cell/tests/common/mod.rs
+++ b/crates/cell/tests/common/mod.rs
@@ -3,8 +3,10 @@
 #![allow(dead_code)]
 
 use myrtle_base::{GUARD, LEASE, Millis, Room, Stamp};
-use myrtle_cell::{Batch, Cell, Deny, End, Op, Record, Snapshot, Spec, Subject, TaskId, Verdicts};
-use myrtle_config::WhenCut;
+use myrtle_cell::{
+    Batch, Cell, Deny, End, LeaseHolder, Op, Record, Snapshot, Spec, TaskId, Verdicts,
+};
+use myrtle_config::OnUnreachable;
 
 /// A cell and the end of its stream.
 #[derive(Debug, Default)]
@@ -59,7 +61,7 @@
     pub fn pass(&mut self, time: Millis) {
         self.time += time;
         self.offset += 1;
-        self.cell.pass(self.offset - 1, self.time);
+        self.cell.skip(self.offset - 1, self.time);
     }
 
     /// A snapshot after encoding and decoding.
@@ -76,25 +78,25 @@
     Room::new(cores, 1000, 0)
 }
 
-pub fn worker(n: u64, boot: u64) -> Op {
+pub fn worker(n: u64, incarnation: u64) -> Op {
     let room = Room::new(32.0, 125_000, 1);
-    Op::Worker { name: format!("w{n}"), rack: format!("r{}", n / 8), room, boot }
+    Op::Worker { name: format!("w{n}"), rack: format!("r{}", n / 8), room, incarnation }
 }
 
 pub fn job(name: &str, tasks: u32, cores: f64) -> Op {
-    job_with(name, tasks, cores, WhenCut::Yield)
+    job_with(name, tasks, cores, OnUnreachable::Yield)
 }
 
-pub fn job_with(name: &str, tasks: u32, cores: f64, when_cut: WhenCut) -> Op {
+pub fn job_with(name: &str, tasks: u32, cores: f64, on_unreachable: OnUnreachable) -> Op {
     let spec = Spec {
-        party: "helios".into(),
+        customer: "helios".into(),
         class: "reports".into(),
         price: 1,
         kind: "report".into(),
         tasks,
         room: room(cores),
         run_time: Some(Millis(1000)),
-        when_cut,
+        on_unreachable,
         failures: 5,
     };
     Op::Job { name: name.into(), version: 1, spec }
@@ -106,7 +108,7 @@
 
 /// Suspects a worker and returns the offset of the suspicion.
 pub fn suspect_worker(log: &mut Log, no: u32) -> u64 {
-    log.ok(Op::Suspect { subject: Subject::Worker(no) });
+    log.ok(Op::Suspect { holder: LeaseHolder::Worker(no) });
     log.offset - 1
 }
 
@@ -115,5 +117,5 @@
     let suspected = suspect_worker(log, no);
     log.pass(LEASE + GUARD);
     let consents = vec!["s1".into(), "s2".into()];
-    log.ok(Op::Lapse { subject: Subject::Worker(no), suspected, consents });
+    log.ok(Op::Lapse { holder: LeaseHolder::Worker(no), suspected, consents });
 }
--- a/crates/cell/tests/fold.rs
+++ b/crates/cell/tests/fold.rs
@@ -7,10 +7,10 @@
 
 use myrtle_base::{GUARD, LEASE, Millis};
 use myrtle_cell::{
-    Deny, End, Health, JobState, Op, Record, Snapshot, State, Subject, TaskId, TaskResult, Unit,
-    Why,
+    Deny, End, Health, JobState, LeaseHolder, Op, Record, Resource, Snapshot, State, StopReason,
+    TaskId, TaskResult,
 };
-use myrtle_config::WhenCut;
+use myrtle_config::OnUnreachable;
 
 /// Defines a test on a log with two workers and three hosts.
 macro_rules! case {
@@ -45,7 +45,7 @@
 
 case!(attempt_numbers_have_no_gaps, log => {
     log.ok(job("a", 1, 1.0));
-    assert_eq!(log.one(claim(T, 2, 0)), Err(Deny::Old));
+    assert_eq!(log.one(claim(T, 2, 0)), Err(Deny::Outdated));
 });
 
 case!(a_repeated_batch_has_no_effect, log => {
@@ -67,8 +67,8 @@
     log.ok(job("a", 1, 1.0));
     log.ok(claim(T, 1, 0));
     log.ok(Op::Started { task: T, attempt: 1 });
-    log.ok(Op::Mark { task: T, attempt: 1, checkpoint: 4 });
-    log.ok(Op::Stop { task: T, attempt: 1, why: Why::Operator });
+    log.ok(Op::Checkpoint { task: T, attempt: 1, checkpoint: 4 });
+    log.ok(Op::Stop { task: T, attempt: 1, reason: StopReason::Operator });
     assert_eq!(log.one(claim(T, 2, 1)), Err(Deny::State));
     log.ok(end(T, 1, End::Stopped(7)));
     assert_eq!(log.one(end(T, 1, End::Stopped(7))), Err(Deny::State));
@@ -91,7 +91,7 @@
     log.ok(claim(T, 1, 0));
     log.ok(Op::Cancel { jobs: vec![0] });
     assert_eq!(log.one(claim(TaskId::new(0, 1), 1, 0)), Err(Deny::State));
-    assert_eq!(log.cell.tasks[&T].state, State::Stopping(0, Why::Cancel));
+    assert_eq!(log.cell.tasks[&T].state, State::Stopping(0, StopReason::Cancel));
     log.ok(end(T, 1, End::Stopped(2)));
     assert_eq!(log.cell.tasks[&T].state, State::Over(TaskResult::Cancelled));
     assert_eq!(log.cell.jobs[&0].open, 0);
@@ -99,7 +99,7 @@
 
 case!(a_removal_does_not_end_a_newer_job, log => {
     log.ok(job("a", 1, 1.0));
-    assert_eq!(log.one(Op::Remove { name: "a".into(), version: 1 }), Err(Deny::Old));
+    assert_eq!(log.one(Op::Remove { name: "a".into(), version: 1 }), Err(Deny::Outdated));
     log.ok(Op::Remove { name: "a".into(), version: 2 });
     assert_eq!(log.cell.jobs[&0].state, JobState::Removed);
 });
@@ -112,7 +112,7 @@
         log.ok(end(T, attempt, End::Failed));
         if attempt < 5 {
             assert_eq!(log.one(claim(T, attempt + 1, 0)), Err(Deny::Backoff));
-            assert_eq!(log.cell.tasks[&T].avoid, Some(worker));
+            assert_eq!(log.cell.tasks[&T].failed_worker, Some(worker));
         }
         log.pass(Millis(60_000));
     }
@@ -141,7 +141,7 @@
         log.ok(claim(TaskId::new(0, n), 1, 0));
         log.ok(end(TaskId::new(0, n), 1, End::Failed));
     }
-    assert_eq!(log.cell.workers[0].aside, None);
+    assert_eq!(log.cell.workers[0].backoff_until, None);
 });
 
 case!(a_silent_worker_keeps_its_tasks_until_its_leases_lapse, log => {
@@ -149,7 +149,7 @@
     log.ok(claim(T, 1, 0));
     let suspected = suspect_worker(&mut log, 0);
     let lapse = |consents: &[&str]| Op::Lapse {
-        subject: Subject::Worker(0),
+        holder: LeaseHolder::Worker(0),
         suspected,
         consents: consents.iter().map(|c| c.to_string()).collect(),
     };
@@ -160,19 +160,19 @@
     assert_eq!(log.cell.tasks[&T].state, State::Claimed(0));
     log.ok(lapse(&["s1", "s3"]));
     log.ok(claim(T, 2, 1));
-    assert_eq!(log.one(end(T, 1, End::Done)), Err(Deny::Old));
+    assert_eq!(log.one(end(T, 1, End::Done)), Err(Deny::Outdated));
 });
 
 case!(a_cleared_suspicion_allows_no_lapse, log => {
     log.ok(job("a", 1, 1.0));
     log.ok(claim(T, 1, 0));
     let suspected = suspect_worker(&mut log, 0);
-    log.ok(Op::Clear { subject: Subject::Worker(0) });
+    log.ok(Op::Clear { holder: LeaseHolder::Worker(0) });
     let second = suspect_worker(&mut log, 0);
     log.pass(LEASE + GUARD);
     let consents = vec!["s1".into(), "s2".into()];
-    let lapse = Op::Lapse { subject: Subject::Worker(0), suspected, consents };
-    assert_eq!(log.one(lapse), Err(Deny::Old));
+    let lapse = Op::Lapse { holder: LeaseHolder::Worker(0), suspected, consents };
+    assert_eq!(log.one(lapse), Err(Deny::Outdated));
     assert_ne!(suspected, second);
 });
 
@@ -181,17 +181,17 @@
     log.ok(claim(T, 1, 0));
     log.ok(common::worker(0, 2));
     assert_eq!(log.cell.tasks[&T].state, State::Pending);
-    assert_eq!(log.one(common::worker(0, 1)), Err(Deny::Old));
+    assert_eq!(log.one(common::worker(0, 1)), Err(Deny::Outdated));
 });
 
 case!(a_resource_has_one_coordinator, log => {
-    log.ok(Op::Gate { name: "g1".into(), boot: 1 });
-    log.ok(Op::Gate { name: "g2".into(), boot: 1 });
-    let assign = |gate: &str| Op::Keep { unit: Unit::Keys(3), gate: gate.into() };
+    log.ok(Op::Gate { name: "g1".into(), incarnation: 1 });
+    log.ok(Op::Gate { name: "g2".into(), incarnation: 1 });
+    let assign = |gate: &str| Op::Assign { resource: Resource::Keys(3), gate: gate.into() };
     log.ok(assign("g1"));
     assert_eq!(log.one(assign("g2")), Err(Deny::Assigned));
-    let reassign = |from: &str, to: &str| Op::Hand {
-        unit: Unit::Keys(3),
+    let reassign = |from: &str, to: &str| Op::Reassign {
+        resource: Resource::Keys(3),
         from: from.into(),
         to: to.into(),
     };
@@ -201,43 +201,43 @@
 });
 
 case!(a_gates_next_incarnation_waits_for_the_leases_of_the_earlier_one, log => {
-    log.ok(Op::Gate { name: "g1".into(), boot: 1 });
-    log.ok(Op::Keep { unit: Unit::Keys(3), gate: "g1".into() });
-    let next = Op::Gate { name: "g1".into(), boot: 2 };
+    log.ok(Op::Gate { name: "g1".into(), incarnation: 1 });
+    log.ok(Op::Assign { resource: Resource::Keys(3), gate: "g1".into() });
+    let next = Op::Gate { name: "g1".into(), incarnation: 2 };
     assert_eq!(log.one(next.clone()), Err(Deny::Early));
-    log.ok(Op::Leave { gate: "g1".into(), boot: 1 });
+    log.ok(Op::Leave { gate: "g1".into(), incarnation: 1 });
     log.ok(next);
 });
 
 case!(usage_is_counted_once, log => {
-    log.ok(Op::Gate { name: "g1".into(), boot: 1 });
+    log.ok(Op::Gate { name: "g1".into(), incarnation: 1 });
     let used = |requests, busy| Op::Used {
         gate: "g1".into(),
-        boot: 1,
-        party: "helios".into(),
+        incarnation: 1,
+        customer: "helios".into(),
         class: "check".into(),
         requests,
         busy: Millis(busy),
     };
     log.ok(used(10, 100));
-    assert_eq!(log.one(used(10, 100)), Err(Deny::Old));
+    assert_eq!(log.one(used(10, 100)), Err(Deny::Outdated));
     log.ok(used(15, 160));
     let total = log.cell.usage[&("helios".to_string(), "check".to_string())];
     assert_eq!((total.requests, total.busy), (15, Millis(160)));
 });
 
 #[rstest]
-#[case::yields(WhenCut::Yield, State::Pending)]
-#[case::continues(WhenCut::Continue, State::Running(0))]
-fn a_lapse_frees_only_tasks_that_yield(#[case] when_cut: WhenCut, #[case] then: State) {
+#[case::yields(OnUnreachable::Yield, State::Pending)]
+#[case::continues(OnUnreachable::Continue, State::Running(0))]
+fn a_lapse_frees_only_tasks_that_yield(#[case] on_unreachable: OnUnreachable, #[case] then: State) {
     let mut log = Log::with_workers(2);
-    log.ok(common::job_with("a", 1, 1.0, when_cut));
+    log.ok(common::job_with("a", 1, 1.0, on_unreachable));
     log.ok(claim(T, 1, 0));
     log.ok(Op::Started { task: T, attempt: 1 });
     common::lapse_worker(&mut log, 0);
     assert_eq!(log.cell.tasks[&T].state, then);
     assert_eq!(log.cell.workers[0].health, Health::Lapsed);
-    if when_cut == WhenCut::Continue {
+    if on_unreachable == OnUnreachable::Continue {
         log.ok(Op::Release { task: T });
         assert_eq!(log.cell.tasks[&T].state, State::Pending);
     }
@@ -249,10 +249,10 @@
     log.ok(claim(T, 1, 0));
     let late = log.snapshot();
     let mut fresh = myrtle_cell::Cell::default();
-    assert!(fresh.adopt(late.clone()));
+    assert!(fresh.catch_up(late.clone()));
     assert_eq!(fresh, log.cell);
-    assert!(!fresh.adopt(early));
-    assert!(!fresh.adopt(late));
+    assert!(!fresh.catch_up(early));
+    assert!(!fresh.catch_up(late));
     assert_eq!(fresh, log.cell);
 });
 
--- a/crates/cell/tests/model/mod.rs
+++ b/crates/cell/tests/model/mod.rs
@@ -12,7 +12,9 @@
 use std::rc::Rc;
 
 use myrtle_base::{LEASE, Millis, Room, Stamp};
-use myrtle_cell::{Batch, Cell, End, Grant, Health, Op, Promise, Read, State, Subject, TaskId};
+use myrtle_cell::{
+    Batch, Cell, End, Health, Lease, LeaseHolder, LogRead, Op, Promise, State, TaskId,
+};
 
 use crate::common::{job, worker};
 
@@ -98,7 +100,7 @@
 
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 struct Message {
-    grant: Grant,
+    lease: Lease,
     starts: Vec<(TaskId, u16)>,
     stops: Vec<(TaskId, u16)>,
 }
@@ -245,14 +247,14 @@
 
     fn renew(&mut self, host: usize, without: Without, bounds: Bounds) -> bool {
         let (stamp, known) = (self.now, &self.hosts[host]);
-        if known.cell.health(&Subject::Worker(host as u32)) != Some(Health::Up) {
+        if known.cell.health(&LeaseHolder::Worker(host as u32)) != Some(Health::Up) {
             return false;
         }
-        let grant = match without {
-            Without::ReadAge => Some(Grant { until: stamp + LEASE }),
-            _ => Read { sent: known.read_at }.grant(stamp, stamp),
+        let lease = match without {
+            Without::ReadAge => Some(Lease { until: stamp + LEASE }),
+            _ => LogRead { sent_at: known.read_at }.grant(stamp, stamp),
         };
-        grant.is_some_and(|grant| self.post(host, grant, bounds))
+        lease.is_some_and(|lease| self.post(host, lease, bounds))
     }
 
     fn renew_offline(
@@ -262,33 +264,33 @@
         without: Without,
         bounds: Bounds,
     ) -> bool {
-        let (now, subject) = (self.now, Subject::Worker(host as u32));
+        let (now, holder) = (self.now, LeaseHolder::Worker(host as u32));
         for voter in [host, peer] {
             let voter = &mut self.hosts[voter];
-            let known = voter.cell.health(&subject);
+            let known = voter.cell.health(&holder);
             let allows = match without {
                 // The host doesn't record its promise.
                 Without::OnePromise => known == Some(Health::Up),
-                _ => voter.promise.allow(&voter.cell, &subject, now),
+                _ => voter.promise.allow_renewal(&voter.cell, &holder, now),
             };
             if !allows {
                 return false;
             }
         }
-        self.post(host, Grant { until: now + LEASE }, bounds)
+        self.post(host, Lease { until: now + LEASE }, bounds)
     }
 
-    fn post(&mut self, host: usize, grant: Grant, bounds: Bounds) -> bool {
+    fn post(&mut self, host: usize, lease: Lease, bounds: Bounds) -> bool {
         let mut starts = Vec::new();
         let mut stops = Vec::new();
-        for (id, task, _) in self.hosts[host].cell.tasks_on(host as u32) {
+        for (id, task, _) in self.hosts[host].cell.worker_tasks(host as u32) {
             match task.state {
                 State::Claimed(_) => starts.push((id, task.attempt)),
                 State::Stopping(..) => stops.push((id, task.attempt)),
                 _ => {}
             }
         }
-        let message = Message { grant, starts, stops };
+        let message = Message { lease, starts, stops };
         let is_new = self.messages[host].first() != Some(&message);
         if is_new {
             // Messages beyond the bound are lost, the oldest first.
@@ -303,7 +305,7 @@
         let Some(message) = self.messages[to].get(n).cloned() else { return false };
         let (now, previous) = (self.now, self.workers[to].clone());
         let worker = &mut self.workers[to];
-        worker.lease = worker.lease.max(message.grant.until);
+        worker.lease = worker.lease.max(message.lease.until);
         for (task, attempt) in message.stops {
             if worker.running.get(&task) == Some(&attempt) {
                 worker.running.remove(&task);
@@ -357,9 +359,9 @@
                 ops.push(Op::End { task, attempt, end: End::Stopped(1) });
             }
         }
-        let other = Subject::Worker(1 - host as u32);
+        let other = LeaseHolder::Worker(1 - host as u32);
         match known.cell.health(&other) {
-            Some(Health::Up) if host == 1 => ops.push(Op::Suspect { subject: other }),
+            Some(Health::Up) if host == 1 => ops.push(Op::Suspect { holder: other }),
             Some(Health::Suspect { offset, since }) => {
                 let waited = self.now.since(since) >= LEASE || without == Without::LapseWait;
                 if waited {
@@ -368,25 +370,25 @@
             }
             _ => {}
         }
-        let own = Subject::Worker(host as u32);
+        let own = LeaseHolder::Worker(host as u32);
         if let Some(Health::Suspect { .. }) = known.cell.health(&own) {
-            ops.push(Op::Clear { subject: own });
+            ops.push(Op::Clear { holder: own });
         }
         ops
     }
 
-    fn lapse(&self, subject: Subject, suspected: u64, without: Without) -> Op {
+    fn lapse(&self, holder: LeaseHolder, suspected: u64, without: Without) -> Op {
         let consents = (0..3).filter(|n| {
             let host = &self.hosts[*n];
             match without {
                 Without::Consents => true,
-                Without::OnePromise => matches!(host.cell.health(&subject),
+                Without::OnePromise => matches!(host.cell.health(&holder),
                     Some(Health::Suspect { offset, .. }) if offset == suspected),
-                _ => host.promise.consent(&host.cell, &subject, suspected, self.now),
+                _ => host.promise.consent_lapse(&host.cell, &holder, suspected, self.now),
             }
         });
         let consents = consents.map(|n| format!("s{n}")).collect();
-        Op::Lapse { subject, suspected, consents }
+        Op::Lapse { holder, suspected, consents }
     }
 }
 
--- a/crates/config/src/check.rs
+++ b/crates/config/src/check.rs
@@ -26,7 +26,7 @@
     check_scope(desired, &mut problems);
     check_services(desired, &mut problems);
     check_classes(desired, &mut problems);
-    check_parties(desired, &mut problems);
+    check_customers(desired, &mut problems);
     for (name, job) in &desired.jobs {
         check_job(desired, shared, name, job, &mut problems);
     }
@@ -46,7 +46,7 @@
         ("data_centres", desired.data_centres.is_empty()),
         ("services", desired.services.is_empty()),
         ("classes", desired.classes.is_empty()),
-        ("parties", desired.parties.is_empty()),
+        ("parties", desired.customers.is_empty()),
     ];
     for (key, empty) in shared {
         if desired.scope != PLATFORM && !empty {
@@ -54,8 +54,8 @@
             problems.push((path([key]), text, "move it to the platform's file"));
         }
     }
-    for (name, centre) in &desired.data_centres {
-        if centre.hosts.is_empty() {
+    for (name, data_centre) in &desired.data_centres {
+        if data_centre.hosts.is_empty() {
             let text = format!("data centre '{name}' has no hosts");
             problems.push((path(["data_centres", name]), text, "list its hosts"));
         }
@@ -88,10 +88,10 @@
     }
 }
 
-fn check_parties(desired: &Desired, problems: &mut Vec<Problem>) {
+fn check_customers(desired: &Desired, problems: &mut Vec<Problem>) {
     let mut tokens = BTreeMap::new();
-    for (name, party) in &desired.parties {
-        let token = &party.token_sha256;
+    for (name, customer) in &desired.customers {
+        let token = &customer.token_sha256;
         let hex = token.len() == 64 && token.bytes().all(|b| b.is_ascii_hexdigit());
         if !hex {
             let text = format!("the token hash of party '{name}' is no SHA-256 in hexadecimal");
@@ -103,7 +103,7 @@
             let hint = "give each party its own token";
             problems.push((path(["parties", name, "token_sha256"]), text, hint));
         }
-        for class in party.classes.iter().filter(|c| !desired.classes.contains_key(*c)) {
+        for class in customer.classes.iter().filter(|c| !desired.classes.contains_key(*c)) {
             let text = format!("party '{name}' names the class '{class}', which is not configured");
             problems.push((path(["parties", name, "classes"]), text, "use a class of this file"));
         }
@@ -130,21 +130,21 @@
         let text = format!("job '{name}' is a watcher with a run time, or neither");
         add("run_time", text, "give a job its run_time and a watcher none");
     }
-    if desired.scope != PLATFORM && job.party != desired.scope {
-        let text = format!("job '{name}' is of party '{}'", job.party);
+    if desired.scope != PLATFORM && job.customer != desired.scope {
+        let text = format!("job '{name}' is of party '{}'", job.customer);
         add("party", text, "a party's file holds its own jobs only");
     }
     let Some(shared) = shared else {
         add("party", "the platform scope is not in force yet".into(), "apply its file first");
         return;
     };
-    match shared.parties.get(&job.party) {
+    match shared.customers.get(&job.customer) {
         None => {
-            let text = format!("job '{name}' names the party '{}'", job.party);
+            let text = format!("job '{name}' names the party '{}'", job.customer);
             add("party", text, "use a configured party");
         }
-        Some(party) if !party.classes.contains(&job.class) => {
-            let text = format!("party '{}' may not use the class '{}'", job.party, job.class);
+        Some(customer) if !customer.classes.contains(&job.class) => {
+            let text = format!("party '{}' may not use the class '{}'", job.customer, job.class);
             add("class", text, "use a class that the party is granted");
         }
         Some(_) => {}
--- a/crates/config/src/desired.rs
+++ b/crates/config/src/desired.rs
@@ -16,7 +16,7 @@
     pub scope: String,
     /// Data centres with their own hosts and upstreams; platform scope only.
     #[serde(default)]
-    pub data_centres: BTreeMap<String, Centre>,
+    pub data_centres: BTreeMap<String, DataCentre>,
     /// Services that clients call; platform scope only.
     #[serde(default)]
     pub services: BTreeMap<String, Service>,
@@ -24,8 +24,8 @@
     #[serde(default)]
     pub classes: BTreeMap<String, Class>,
     /// Customers with their limits; platform scope only.
-    #[serde(default)]
-    pub parties: BTreeMap<String, Party>,
+    #[serde(default, rename = "parties")]
+    pub customers: BTreeMap<String, Customer>,
     /// Batch jobs and watchers (long-running jobs).
     #[serde(default)]
     pub jobs: BTreeMap<String, Job>,
@@ -34,7 +34,7 @@
 /// A data centre.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
-pub struct Centre {
+pub struct DataCentre {
     /// The region of the data centre.
     pub region: String,
     /// The hosts a majority of which may declare a silent worker or gate lapsed.
@@ -69,7 +69,7 @@
 /// A customer.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
-pub struct Party {
+pub struct Customer {
     /// The hexadecimal SHA-256 of its token.
     pub token_sha256: String,
     /// The most requests per second in each data centre.
@@ -81,7 +81,7 @@
 /// What happens to a task whose worker is unreachable.
 #[derive(Debug, Default, Clone, Copy, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
-pub enum WhenCut {
+pub enum OnUnreachable {
     /// The task stops when its lease lapses, and another worker starts it.
     #[default]
     Yield,
@@ -94,7 +94,8 @@
 #[serde(deny_unknown_fields)]
 pub struct Job {
     /// The customer that pays.
-    pub party: String,
+    #[serde(rename = "party")]
+    pub customer: String,
     /// The priority class.
     pub class: String,
     /// The kind of its work; interference is learned for each kind.
@@ -118,8 +119,8 @@
     #[serde(default)]
     pub watcher: bool,
     /// What happens to a task whose worker is unreachable.
-    #[serde(default)]
-    pub when_cut: WhenCut,
+    #[serde(default, rename = "when_cut")]
+    pub on_unreachable: OnUnreachable,
     /// The number of failed attempts at which a task fails, 5 by default.
     #[serde(default = "default_failures")]
     pub failures: u16,
--- a/crates/config/src/diff.rs
+++ b/crates/config/src/diff.rs
@@ -28,7 +28,7 @@
     section("data_centre", &old.data_centres, &new.data_centres, &mut edits);
     section("service", &old.services, &new.services, &mut edits);
     section("class", &old.classes, &new.classes, &mut edits);
-    section("party", &old.parties, &new.parties, &mut edits);
+    section("party", &old.customers, &new.customers, &mut edits);
     section("job", &old.jobs, &new.jobs, &mut edits);
     edits
 }
--- a/crates/config/src/fold.rs
+++ b/crates/config/src/fold.rs
@@ -49,7 +49,7 @@
 
 /// The state of a scope in force.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
-pub struct Scoped {
+pub struct ScopeState {
     /// The version of the configuration that last changed it.
     pub version: u64,
     /// The operator who changed it.
@@ -93,7 +93,7 @@
     /// The version in force, 0 before the first change.
     pub version: u64,
     /// The scopes by name.
-    pub scopes: BTreeMap<String, Scoped>,
+    pub scopes: BTreeMap<String, ScopeState>,
     #[serde(rename = "seen")]
     verdicts: VecDeque<(Uuid, Verdict)>,
 }
@@ -135,11 +135,11 @@
     }
 
     /// Adopts a scope that a peer has in force if it is newer than this one's.
-    pub fn adopt(&mut self, name: &str, scoped: Scoped) {
+    pub fn adopt(&mut self, name: &str, state: ScopeState) {
         let current = self.scopes.get(name).map_or(0, |s| s.version);
-        if scoped.version > current {
-            self.version = self.version.max(scoped.version);
-            self.scopes.insert(name.into(), scoped);
+        if state.version > current {
+            self.version = self.version.max(state.version);
+            self.scopes.insert(name.into(), state);
         }
     }
 
@@ -159,10 +159,10 @@
     }
 
     fn judge(&self, change: &Change) -> Option<Refusal> {
-        let scoped = self.scopes.get(&change.desired.scope);
-        let current = scoped.map_or(0, |s| s.version);
+        let state = self.scopes.get(&change.desired.scope);
+        let current = state.map_or(0, |s| s.version);
         if change.base != current {
-            let by = scoped.map(|s| s.by.clone()).unwrap_or_default();
+            let by = state.map(|s| s.by.clone()).unwrap_or_default();
             return Some(Refusal::Conflict { base: change.base, current, by });
         }
         let faults = check_refs("change", "", &change.desired, self.platform());
@@ -171,8 +171,8 @@
 
     fn accept(&mut self, version: u64, change: Change) -> u64 {
         self.version = version;
-        let scoped = Scoped { version, by: change.by, desired: change.desired };
-        self.scopes.insert(scoped.desired.scope.clone(), scoped);
+        let state = ScopeState { version, by: change.by, desired: change.desired };
+        self.scopes.insert(state.desired.scope.clone(), state);
         version
     }
 }
--- a/crates/config/src/lib.rs
+++ b/crates/config/src/lib.rs
@@ -10,9 +10,9 @@
 mod unit;
 
 pub use check::{PLATFORM, check_refs};
-pub use desired::{Centre, Class, Desired, Job, Party, Service, WhenCut};
+pub use desired::{Class, Customer, DataCentre, Desired, Job, OnUnreachable, Service};
 pub use diff::{Edit, diff};
-pub use fold::{Change, Config, ConfigRecord, Refusal, Scoped, Verdict};
+pub use fold::{Change, Config, ConfigRecord, Refusal, ScopeState, Verdict};
 pub use read::{Fault, MAX_FILE_BYTES, check_end, read, read_file};
 pub use settings::{Announce, Platform, Settings};
 pub use token::hash_token;
--- a/crates/config/src/read.rs
+++ b/crates/config/src/read.rs
@@ -37,7 +37,7 @@
 
 impl Fault {
     /// A fault of the file as a whole.
-    pub fn whole(file: &str, text: impl Into<String>, hint: impl Into<String>) -> Self {
+    pub fn in_file(file: &str, text: impl Into<String>, hint: impl Into<String>) -> Self {
         Self { file: file.into(), line: 0, column: 0, text: text.into(), hint: hint.into() }
     }
 
@@ -52,16 +52,16 @@
 pub fn read_file<T: DeserializeOwned>(path: &Path) -> Result<(T, String), Fault> {
     let name = path.display().to_string();
     let io_fault =
-        |e: std::io::Error| Fault::whole(&name, e.to_string(), "name a file that can be read");
+        |e: std::io::Error| Fault::in_file(&name, e.to_string(), "name a file that can be read");
     let file = File::open(path).map_err(io_fault)?;
     let mut bytes = Vec::new();
     file.take(MAX_FILE_BYTES + 1).read_to_end(&mut bytes).map_err(io_fault)?;
     if bytes.len() as u64 > MAX_FILE_BYTES {
         let text = format!("the file is larger than {MAX_FILE_BYTES} bytes");
-        return Err(Fault::whole(&name, text, "split it into one file for each party"));
+        return Err(Fault::in_file(&name, text, "split it into one file for each party"));
     }
     let text = String::from_utf8(bytes)
-        .map_err(|_| Fault::whole(&name, "the file is not UTF-8", "save it as UTF-8"))?;
+        .map_err(|_| Fault::in_file(&name, "the file is not UTF-8", "save it as UTF-8"))?;
     let value = read(&name, &text)?;
     Ok((value, text))
 }
--- a/crates/ctl/src/commands.rs
+++ b/crates/ctl/src/commands.rs
@@ -160,7 +160,7 @@
 
 async fn parties(cluster: &Cluster, json: bool) -> Result<(), Error> {
     let config = cluster.config().await?;
-    let parties = config.platform().into_iter().flat_map(|p| &p.parties);
+    let parties = config.platform().into_iter().flat_map(|p| &p.customers);
     let rows: Vec<Value> = parties
         .map(|(name, p)| value!({"party": name, "rate": p.rate, "classes": p.classes.join(",")}))
         .collect();
--- a/crates/ctl/tests/job.rs
+++ b/crates/ctl/tests/job.rs
@@ -51,7 +51,7 @@
         async move { store.handle(ctl).await }
     }));
     while !start_host(at).await {}
-    let steps = vec![StepSpec { count: 2, estimate: 100, ..StepSpec::default() }];
+    let steps = vec![StepSpec { count: 2, estimate_ms: 100, ..StepSpec::default() }];
     let spec = JobSpec { body: "b".into(), steps, repeat: None };
     let mut body = BytesMut::new();
     frame_keyed(&mut body, JOB, &encode(&Submission { spec, ..Submission::default() }));
--- a/crates/front/src/entry.rs
+++ b/crates/front/src/entry.rs
@@ -103,7 +103,7 @@
     };
     let steps = spec.steps.len();
     let policy = target.queue.policy.clone();
-    let record = encode(&Submission { policy, spec, taken: wall() });
+    let record = encode(&Submission { policy, spec, accepted_at: wall() });
     let cell = cell_of(host, job);
     let started = Instant::now();
     let passed = intake::accept(host, cell, job, record, left(target.end)).await;
--- a/crates/front/src/orders.rs
+++ b/crates/front/src/orders.rs
@@ -6,7 +6,7 @@
 use log::{debug, warn};
 
 use myrtle_adapter::{StartOrder, WorkerError};
-use myrtle_job::Told;
+use myrtle_job::OrderReply;
 use myrtle_owner::{Order, Outcome};
 
 use crate::clock::now;
@@ -69,21 +69,21 @@
         }
         Order::Stop { worker, task, run } => cell.stop_replied(worker, *task, *run, outcome, now()),
         Order::Throttle { worker, task, run, percent } => {
-            if !matches!(outcome, Outcome::Replied(Told::Done)) {
+            if !matches!(outcome, Outcome::Replied(OrderReply::Done)) {
                 warn!(
                     "event=pace-told task={task} run={run} worker={worker} percent={percent} \
                      outcome={outcome:?}"
                 );
                 cell.limit_unconfirmed(worker, *task, *run, *percent);
             }
-            outcome == Outcome::Replied(Told::Fenced)
+            outcome == Outcome::Replied(OrderReply::Fenced)
         }
     };
     drop(cell);
     if fenced {
         owned.depose("a worker that has seen a higher fencing token");
     }
-    if outcome != Outcome::Replied(Told::Done) {
+    if outcome != Outcome::Replied(OrderReply::Done) {
         owned.wake.notify_one();
     }
 }
--- a/crates/front/src/takeover.rs
+++ b/crates/front/src/takeover.rs
@@ -9,7 +9,7 @@
 use tokio::time::sleep;
 
 use myrtle_adapter::{Item, StoreError, Writer, frame_keyed, unframe_keyed};
-use myrtle_job::{Incarnation, JobId, Key, Part, Progress, Submission, decode, encode};
+use myrtle_job::{Incarnation, JobId, Key, Progress, Submission, Transfer, decode, encode};
 use myrtle_owner::Cell;
 
 use crate::clock::{now, wall};
@@ -281,9 +281,8 @@
                 cell.set_home(id, layout.job_cell(id));
             }
         }),
-        Key::Part(id) => {
-            Part::read(value).map(|part| owned.state().receive_transfer(id, part, now(), wall()))
-        }
+        Key::Transfer(id) => Transfer::read(value)
+            .map(|part| owned.state().receive_transfer(id, part, now(), wall())),
         Key::Recall(id) => {
             owned.state().cancel_transferred(id.job, now(), wall());
             Ok(())
--- a/crates/gate/src/acquire.rs
+++ b/crates/gate/src/acquire.rs
@@ -8,7 +8,7 @@
 
 use tokio::time::{sleep, timeout};
 
-use myrtle_cell::Unit;
+use myrtle_cell::Resource;
 use myrtle_peer::{CoordinatorReply, GatePeerClient};
 use myrtle_route::Ask;
 
@@ -87,7 +87,7 @@
     coordinator: &str,
     incarnation: u64,
     seq: u64,
-    asks: Vec<(Unit, Ask)>,
+    asks: Vec<(Resource, Ask)>,
 ) -> Option<CoordinatorReply> {
     let link = tables.gate_link(view.peer(coordinator)?);
     let gate = tables.name().to_string();
@@ -97,7 +97,7 @@
 }
 
 /// The requests to one coordinator; from here on no more than `have` of each resource is used.
-fn asks(tables: &Tables, view: &View, coordinator: &str) -> Vec<(Unit, Ask)> {
+fn asks(tables: &Tables, view: &View, coordinator: &str) -> Vec<(Resource, Ask)> {
     let now = tables.now();
     tables.queues(|queues| {
         let mut asks = Vec::new();
@@ -121,15 +121,16 @@
     view: &View,
     coordinator: &str,
     now: Duration,
-) -> BTreeMap<Unit, (u32, u32)> {
-    let coordinated =
-        |resource: &Unit| view.peering.units.get(resource).is_some_and(|k| k.gate == coordinator);
+) -> BTreeMap<Resource, (u32, u32)> {
+    let coordinated = |resource: &Resource| {
+        view.peering.units.get(resource).is_some_and(|k| k.gate == coordinator)
+    };
     let mut wants = BTreeMap::new();
     let count = queue.endpoints.len().max(1);
     let need = f64::from(queue.need(now)) * HEADROOM;
     let each = (need / count as f64).ceil() as u32;
     for (number, endpoint) in queue.endpoints.iter().enumerate() {
-        let resource = Unit::Upstream(endpoint.name.clone());
+        let resource = Resource::Upstream(endpoint.name.clone());
         let upstream = queue.upstreams.get(number as u32);
         if !coordinated(&resource) {
             continue;
@@ -138,7 +139,7 @@
         wants.insert(resource, (upstream.busy, want));
     }
     for customer in view.customers.values() {
-        let resource = Unit::Party(customer.name.clone());
+        let resource = Resource::Customer(customer.name.clone());
         if !coordinated(&resource) {
             continue;
         }
--- a/crates/gate/src/coordinator.rs
+++ b/crates/gate/src/coordinator.rs
@@ -5,7 +5,7 @@
 
 use uuid::Uuid;
 
-use myrtle_cell::{Keep, Unit};
+use myrtle_cell::{Coordinator, Resource};
 use myrtle_peer::{CoordinatorReply, ResourceState};
 use myrtle_route::{ALLOCATION_TTL, Ask, Bucket, KeyTable, Ledger, bucket_of};
 
@@ -22,10 +22,10 @@
 /// Ledgers and buckets, and those received from earlier coordinators but not yet in use.
 #[derive(Debug, Default)]
 pub struct Resources {
-    limits: BTreeMap<Unit, Limit>,
+    limits: BTreeMap<Resource, Limit>,
     keys: KeyTable,
-    terms: BTreeMap<Unit, u64>,
-    incoming: BTreeMap<Unit, ResourceState>,
+    terms: BTreeMap<Resource, u64>,
+    incoming: BTreeMap<Resource, ResourceState>,
 }
 
 #[derive(Debug)]
@@ -41,7 +41,7 @@
     }
 
     /// The resources that this gate coordinates.
-    pub fn resources(&self) -> Vec<Unit> {
+    pub fn resources(&self) -> Vec<Resource> {
         self.terms.keys().cloned().collect()
     }
 
@@ -55,7 +55,7 @@
 
     /// Stores the state that an earlier coordinator sent; it is used once the cell makes this gate
     /// the coordinator.
-    pub fn receive(&mut self, resource: Unit, state: ResourceState, now: Duration) {
+    pub fn receive(&mut self, resource: Resource, state: ResourceState, now: Duration) {
         let state = match state {
             ResourceState::Ledger(mut ledger) => {
                 ledger.convert_times(Duration::ZERO, now);
@@ -67,10 +67,10 @@
     }
 
     /// Stops coordinating a resource and returns its state, with times relative to `now`.
-    pub fn close(&mut self, resource: &Unit, now: Duration) -> Option<ResourceState> {
+    pub fn close(&mut self, resource: &Resource, now: Duration) -> Option<ResourceState> {
         self.terms.remove(resource)?;
         match resource {
-            Unit::Keys(no) => self.keys.close(*no).map(ResourceState::Bucket),
+            Resource::Keys(no) => self.keys.close(*no).map(ResourceState::Bucket),
             _ => self.limits.remove(resource).map(|mut limited| {
                 limited.ledger.convert_times(now, Duration::ZERO);
                 ResourceState::Ledger(limited.ledger)
@@ -84,7 +84,7 @@
         gate: &str,
         incarnation: u64,
         seq: u64,
-        asks: Vec<(Unit, Ask)>,
+        asks: Vec<(Resource, Ask)>,
         now: Duration,
         lease_left: Duration,
     ) -> CoordinatorReply {
@@ -103,8 +103,8 @@
 
     /// Opens and closes resources as the cell assigns them, and sets their limits.
     fn reconcile(&mut self, view: &View, name: &str, now: Duration) {
-        let own = |resource: &Unit| view.peering.units.get(resource).filter(|k| k.gate == name);
-        let gone: Vec<Unit> = self.terms.keys().filter(|u| own(u).is_none()).cloned().collect();
+        let own = |resource: &Resource| view.peering.units.get(resource).filter(|k| k.gate == name);
+        let gone: Vec<Resource> = self.terms.keys().filter(|u| own(u).is_none()).cloned().collect();
         for resource in gone {
             self.close(&resource, now);
         }
@@ -119,19 +119,23 @@
         }
     }
 
-    fn open(&mut self, resource: &Unit, assigned: &Keep, limit: u32, now: Duration) {
+    fn open(&mut self, resource: &Resource, assigned: &Coordinator, limit: u32, now: Duration) {
         self.terms.insert(resource.clone(), assigned.term);
-        let state = self.incoming.remove(resource).filter(|_| assigned.handed);
+        let state = self.incoming.remove(resource).filter(|_| assigned.reassigned);
         match (resource, state) {
-            (Unit::Keys(no), Some(ResourceState::Bucket(bucket))) => self.keys.open(*no, bucket),
-            (Unit::Keys(no), _) if assigned.handed => self.keys.open(*no, Bucket::since(wall())),
-            (Unit::Keys(no), _) => self.keys.open(*no, Bucket::since(assigned.since)),
+            (Resource::Keys(no), Some(ResourceState::Bucket(bucket))) => {
+                self.keys.open(*no, bucket)
+            }
+            (Resource::Keys(no), _) if assigned.reassigned => {
+                self.keys.open(*no, Bucket::since(wall()))
+            }
+            (Resource::Keys(no), _) => self.keys.open(*no, Bucket::since(assigned.since)),
             (_, Some(ResourceState::Ledger(ledger))) => {
                 let limited = Limit { ledger, closed_until: Duration::ZERO };
                 self.limits.insert(resource.clone(), limited);
             }
             _ => {
-                let closed_until = if assigned.handed { now + GUARD } else { Duration::ZERO };
+                let closed_until = if assigned.reassigned { now + GUARD } else { Duration::ZERO };
                 let ledger = Ledger::new(&resource.to_string(), limit);
                 self.limits.insert(resource.clone(), Limit { ledger, closed_until });
             }
@@ -156,7 +160,7 @@
         gate: &str,
         incarnation: u64,
         seq: u64,
-        asks: Vec<(Unit, Ask)>,
+        asks: Vec<(Resource, Ask)>,
     ) -> CoordinatorReply {
         let lease_left = self.lease_left();
         if lease_left.is_zero() || !self.is_listed() {
@@ -168,17 +172,17 @@
 }
 
 /// The configured limit of a resource.
-fn limit(view: &View, resource: &Unit) -> u32 {
+fn limit(view: &View, resource: &Resource) -> u32 {
     match resource {
-        Unit::Upstream(name) => {
+        Resource::Upstream(name) => {
             let upstream = view.peering.upstreams.iter().find(|u| u.name == *name);
             let service = upstream.and_then(|u| view.services.get(&u.service));
             service.map_or(NO_SLOTS, |s| s.slots)
         }
-        Unit::Party(name) => {
+        Resource::Customer(name) => {
             let customer = view.customers.values().find(|c| c.name == *name);
             customer.map_or(0, |c| c.rate)
         }
-        Unit::Keys(_) => 0,
+        Resource::Keys(_) => 0,
     }
 }
--- a/crates/gate/src/drain.rs
+++ b/crates/gate/src/drain.rs
@@ -8,7 +8,7 @@
 use tokio::time::{Instant, sleep};
 
 use myrtle_base::winner;
-use myrtle_cell::{Op, Unit};
+use myrtle_cell::{Op, Resource};
 use myrtle_peer::{GatePeerClient, Proposal};
 
 use crate::lifecycle::Event;
@@ -56,19 +56,19 @@
     let (gate, incarnation) = (tables.name().to_string(), tables.incarnation());
     // A resource that no gate received must not be free before the allocations of it have expired.
     if tables.resources(|r| r.resources().is_empty()) {
-        tables.propose(vec![Op::Leave { gate, boot: incarnation }]).await;
+        tables.propose(vec![Op::Leave { gate, incarnation }]).await;
     }
     tables.handle_event(Event::Drained);
     info!("gate: left");
 }
 
 /// Transfers resources to other gates; one whose gate has no address stays here.
-pub async fn transfer(tables: &Arc<Tables>, moves: Vec<(Unit, String)>) {
+pub async fn transfer(tables: &Arc<Tables>, moves: Vec<(Resource, String)>) {
     let mut ops = Vec::new();
     for (resource, to) in moves {
         if send_state(tables, &resource, &to).await {
             let from = tables.name().to_string();
-            ops.push(Op::Hand { unit: resource, from, to });
+            ops.push(Op::Reassign { resource, from, to });
         }
     }
     if ops.is_empty() {
@@ -83,10 +83,10 @@
 }
 
 /// The gates that should coordinate each resource when this one is gone.
-fn next_coordinators(tables: &Tables) -> Vec<(Unit, String)> {
+fn next_coordinators(tables: &Tables) -> Vec<(Resource, String)> {
     let view = tables.view.load();
     let others = || view.peering.gates.keys().filter(|g| *g != tables.name()).map(String::as_str);
-    let next = |resource: Unit| {
+    let next = |resource: Resource| {
         let next = winner(others(), &resource.to_string())?.to_string();
         Some((resource, next))
     };
@@ -97,7 +97,7 @@
 ///
 /// From here on this gate does not use the state any more; it is not taken back, as the other gate
 /// may have received it.
-async fn send_state(tables: &Tables, resource: &Unit, to: &str) -> bool {
+async fn send_state(tables: &Tables, resource: &Resource, to: &str) -> bool {
     let Some(at) = tables.view.load().peer(to) else { return false };
     let now = tables.now();
     let Some(state) = tables.resources(|r| r.close(resource, now)) else { return false };
--- a/crates/gate/src/follow.rs
+++ b/crates/gate/src/follow.rs
@@ -8,7 +8,7 @@
 use tokio::time::sleep;
 
 use myrtle_base::Millis;
-use myrtle_cell::{Op, Unit};
+use myrtle_cell::{Op, Resource};
 use myrtle_peer::{GateView, Known, Link, Proposal, SchedPeerClient};
 use myrtle_platform::{Host, Role};
 
@@ -130,7 +130,7 @@
 
 /// Applies a view; returns false if it is older than the current one.
 fn apply_view(tables: &Tables, view: GateView) -> bool {
-    tables.ring.clock().merge(view.stamp);
+    tables.ring.clock().advance(view.stamp);
     let known = tables.view.load_full();
     let stale = view.peering.as_ref().is_some_and(|p| p.next < known.peering.next);
     if stale {
@@ -184,7 +184,7 @@
     tables.next_incarnation();
     tables.handle_event(Event::LeaseLost);
     let gate = tables.name().to_string();
-    tables.propose(vec![Op::Leave { gate, boot: incarnation }]).await;
+    tables.propose(vec![Op::Leave { gate, incarnation }]).await;
 }
 
 fn check_ready(tables: &Tables) {
@@ -192,7 +192,7 @@
     let view = tables.view.load();
     let allocated = |queue: &ServiceQueue| {
         let rate = |customer: &Customer| {
-            let resource = Unit::Party(customer.name.clone()).to_string();
+            let resource = Resource::Customer(customer.name.clone()).to_string();
             queue.allocations.usable(&resource, now) > 0
         };
         queue.upstreams.held() > 0 && view.customers.values().all(rate)
--- a/crates/gate/src/keyed.rs
+++ b/crates/gate/src/keyed.rs
@@ -12,7 +12,7 @@
 use xxhash_rust::xxh3::Xxh3Default;
 
 use myrtle_base::{Kind, Ran, winner};
-use myrtle_cell::Unit;
+use myrtle_cell::Resource;
 use myrtle_peer::{GatePeerClient, KeyOutcome, Link};
 use myrtle_route::{Decision, SavedAnswer, bucket_of};
 
@@ -111,12 +111,14 @@
     let Some(Coordinator::OtherGate(link, _)) =
         coordinator(tables, tables.settings.data_centre.as_str(), &key)
     else {
-        return Decision::Refuse(Kind::NoKeeper);
+        return Decision::Refuse(Kind::NoCoordinator);
     };
     if forwarded {
-        return Decision::Refuse(Kind::NoKeeper);
+        return Decision::Refuse(Kind::NoCoordinator);
     }
-    ask(tables, &link, key, hash, runner, true).await.unwrap_or(Decision::Refuse(Kind::NoKeeper))
+    ask(tables, &link, key, hash, runner, true)
+        .await
+        .unwrap_or(Decision::Refuse(Kind::NoCoordinator))
 }
 
 /// Reports the end of a request to the coordinator of its key, on behalf of another gate.
@@ -157,11 +159,11 @@
             None => None,
         };
         match reply {
-            Some(Decision::Refuse(Kind::NoKeeper)) | None => {}
+            Some(Decision::Refuse(Kind::NoCoordinator)) | None => {}
             Some(reply) => return Ok(reply),
         }
         if tables.now() + PAUSE >= end {
-            return Err(Refusal::after(Kind::NoKeeper, Duration::from_secs(2)));
+            return Err(Refusal::after(Kind::NoCoordinator, Duration::from_secs(2)));
         }
         tokio::time::sleep(PAUSE).await;
     }
@@ -208,7 +210,7 @@
         let gate = winner(gates.map(|(name, _)| name.as_str()), &key.to_string())?;
         return Some(Coordinator::OtherGate(tables.gate_link(view.peer(gate)?), false));
     }
-    let keeping = view.peering.units.get(&Unit::Keys(bucket_of(key)))?;
+    let keeping = view.peering.units.get(&Resource::Keys(bucket_of(key)))?;
     if keeping.gate == tables.name() {
         return Some(Coordinator::ThisGate);
     }
--- a/crates/gate/src/pool.rs
+++ b/crates/gate/src/pool.rs
@@ -9,7 +9,7 @@
 use hyper::body::Incoming;
 use hyper::client::conn::http1::SendRequest;
 
-use myrtle_base::Doubt;
+use myrtle_base::SilenceDetector;
 
 /// The body of a request to an upstream, buffered or streamed.
 pub type Outgoing = Either<Full<Bytes>, Incoming>;
@@ -28,14 +28,14 @@
 #[derive(Debug, Default)]
 struct Address {
     idle: Vec<(Connection, Instant)>,
-    doubt: Doubt,
+    doubt: SilenceDetector,
 }
 
 impl Pool {
     /// Takes an idle connection that is still open and not in doubt.
     pub fn take(&mut self, at: SocketAddr) -> Option<Connection> {
         let address = self.addresses.get_mut(&at)?;
-        let suspect_before = address.doubt.before(Instant::now());
+        let suspect_before = address.doubt.suspect_before(Instant::now());
         // All idle connections may have gone silent at once.
         address
             .idle
@@ -63,7 +63,7 @@
         let (address, now) = (self.addresses.entry(at).or_default(), Instant::now());
         match answered {
             true => drop(address.doubt.answered(number, now, now)),
-            false => address.doubt.given_up(number, now),
+            false => address.doubt.cancelled(number, now),
         }
     }
 
--- a/crates/gate/src/queue.rs
+++ b/crates/gate/src/queue.rs
@@ -224,7 +224,7 @@
             return *number;
         }
         let number = self.upstreams.add();
-        let resource = myrtle_cell::Unit::Upstream(view.name.clone()).to_string();
+        let resource = myrtle_cell::Resource::Upstream(view.name.clone()).to_string();
         self.endpoints.push(Endpoint { name: view.name.clone(), resource, at: view.at });
         self.numbers.insert(view.name.clone(), number);
         number
--- a/crates/gate/src/rate.rs
+++ b/crates/gate/src/rate.rs
@@ -6,7 +6,7 @@
 use tokio::time::timeout;
 
 use myrtle_base::Kind;
-use myrtle_cell::Unit;
+use myrtle_cell::Resource;
 
 use crate::acquire::wanted_rate;
 use crate::call::Call;
@@ -94,5 +94,5 @@
 }
 
 fn resource(call: &Call) -> String {
-    Unit::Party(call.customer.clone()).to_string()
+    Resource::Customer(call.customer.clone()).to_string()
 }
--- a/crates/gate/src/rebalance.rs
+++ b/crates/gate/src/rebalance.rs
@@ -7,7 +7,7 @@
 use tokio::time::sleep;
 
 use myrtle_base::winner;
-use myrtle_cell::{Op, Subject, Unit};
+use myrtle_cell::{LeaseHolder, Op, Resource};
 use myrtle_peer::Proposal;
 use myrtle_route::KeyTable;
 
@@ -39,7 +39,7 @@
     let view = tables.view.load();
     let own = tables.resources(|r| r.resources());
     let coordinated = |bucket| {
-        let resource = Unit::Keys(bucket);
+        let resource = Resource::Keys(bucket);
         let assigned = view.peering.units.get(&resource);
         assigned.is_some_and(|k| k.gate != tables.name() || own.contains(&resource))
     };
@@ -49,8 +49,8 @@
 /// Whether the log is available: writes a command that changes nothing, unless this gate is
 /// suspected, and waits until it is read back.
 async fn log_available(tables: &Tables) -> bool {
-    let subject = Subject::Gate(tables.name().to_string());
-    let folded = matches!(tables.propose(vec![Op::Clear { subject }]).await, Proposal::Folded(_));
+    let holder = LeaseHolder::Gate(tables.name().to_string());
+    let folded = matches!(tables.propose(vec![Op::Clear { holder }]).await, Proposal::Folded(_));
     if !folded {
         info!("gate: no resource is transferred while the log is unavailable");
     }
@@ -58,10 +58,10 @@
 }
 
 /// Resources of this gate that another gate should coordinate.
-fn better_coordinators(tables: &Tables) -> Vec<(Unit, String)> {
+fn better_coordinators(tables: &Tables) -> Vec<(Resource, String)> {
     let view = tables.view.load();
     let up = || view.peering.gates.keys().map(String::as_str);
-    let better = |resource: &Unit| {
+    let better = |resource: &Resource| {
         let best = winner(up(), &resource.to_string())?;
         (best != tables.name()).then(|| best.to_string())
     };
--- a/crates/gate/src/rpc.rs
+++ b/crates/gate/src/rpc.rs
@@ -6,7 +6,7 @@
 use uuid::Uuid;
 
 use myrtle_base::Stamp;
-use myrtle_cell::Unit;
+use myrtle_cell::Resource;
 use myrtle_peer::{CoordinatorReply, GatePeer, KeyOutcome, ResourceState};
 use myrtle_route::{Ask, Decision};
 
@@ -24,7 +24,7 @@
         gate: String,
         incarnation: u64,
         seq: u64,
-        asks: Vec<(Unit, Ask)>,
+        asks: Vec<(Resource, Ask)>,
     ) -> CoordinatorReply {
         self.0.allocate(&gate, incarnation, seq, asks)
     }
@@ -38,12 +38,12 @@
         runner: u64,
         forwarded: bool,
     ) -> Decision {
-        self.0.ring.clock().merge(stamp);
+        self.0.ring.clock().advance(stamp);
         keyed::begin_for(&self.0, key, hash, runner, forwarded).await
     }
 
     async fn end(self, _: Context, stamp: Stamp, key: Uuid, outcome: KeyOutcome, forwarded: bool) {
-        self.0.ring.clock().merge(stamp);
+        self.0.ring.clock().advance(stamp);
         keyed::end_for(&self.0, key, outcome, forwarded).await;
     }
 
@@ -53,7 +53,13 @@
         true
     }
 
-    async fn receive(self, _: Context, resource: Unit, from: String, state: ResourceState) -> bool {
+    async fn receive(
+        self,
+        _: Context,
+        resource: Resource,
+        from: String,
+        state: ResourceState,
+    ) -> bool {
         let now = self.0.now();
         self.0.ring.add("gate", format!("receives {resource} from {from}"));
         self.0.resources(|r| r.receive(resource, state, now));
--- a/crates/gate/src/usage.rs
+++ b/crates/gate/src/usage.rs
@@ -29,8 +29,8 @@
         let ops: Vec<Op> = grown
             .map(|((customer, class), used)| Op::Used {
                 gate: self.name().to_string(),
-                boot: incarnation,
-                party: customer.clone(),
+                incarnation,
+                customer: customer.clone(),
                 class: class.clone(),
                 requests: used.requests,
                 busy: used.busy,
--- a/crates/gate/src/view.rs
+++ b/crates/gate/src/view.rs
@@ -52,7 +52,7 @@
 impl View {
     /// The view with another platform scope.
     pub fn with_platform(&self, version: u64, desired: &Desired) -> Self {
-        let customers = desired.parties.iter().enumerate().filter_map(|(n, (name, customer))| {
+        let customers = desired.customers.iter().enumerate().filter_map(|(n, (name, customer))| {
             let (name, number) = (name.clone(), n as u32);
             let (rate, classes) = (customer.rate, customer.classes.clone());
             Some((decode_hash(&customer.token_sha256)?, Customer { name, number, rate, classes }))
--- a/crates/job/src/crashes.rs
+++ b/crates/job/src/crashes.rs
@@ -21,9 +21,9 @@
 #[derive(Debug, Default, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Crashes {
     /// All losses.
-    pub seen: u8,
+    pub losses: u8,
     /// Losses that the task may have caused.
-    pub doubts: u8,
+    pub suspect_losses: u8,
     /// The newest loss.
     pub last: Option<Loss>,
 }
@@ -32,45 +32,45 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Loss {
     /// The age of the run at the loss, in milliseconds.
-    pub age: u32,
+    pub age_ms: u32,
     /// Whether the run was so young that this loss alone makes the task a suspect.
-    pub fresh: bool,
+    pub early: bool,
     /// Whether the loss is not one of many simultaneous ones.
-    pub alone: bool,
+    pub isolated: bool,
 }
 
 impl Crashes {
     /// Counts a loss; one of many simultaneous ones, as in a power failure, doesn't make the task a suspect.
     pub fn count(&mut self, loss: Loss) {
-        let similar = |last: Loss| last.age.abs_diff(loss.age) <= AGE_TOLERANCE_MS;
+        let similar = |last: Loss| last.age_ms.abs_diff(loss.age_ms) <= AGE_TOLERANCE_MS;
         let last = self.last.replace(loss);
-        self.seen = self.seen.saturating_add(1);
-        if !loss.alone {
+        self.losses = self.losses.saturating_add(1);
+        if !loss.isolated {
             return;
         }
-        if loss.fresh {
-            self.doubts = self.doubts.saturating_add(1);
-        } else if last.is_some_and(|last| last.alone && similar(last)) {
+        if loss.early {
+            self.suspect_losses = self.suspect_losses.saturating_add(1);
+        } else if last.is_some_and(|last| last.isolated && similar(last)) {
             // The similar loss before this one counts too.
-            self.doubts = self.doubts.max(1).saturating_add(1);
+            self.suspect_losses = self.suspect_losses.max(1).saturating_add(1);
         }
     }
 
     /// Takes the higher of both counts, so that a repeated merge changes nothing.
     pub fn merge(&mut self, other: Self) {
-        self.seen = self.seen.max(other.seen);
-        self.doubts = self.doubts.max(other.doubts);
+        self.losses = self.losses.max(other.losses);
+        self.suspect_losses = self.suspect_losses.max(other.suspect_losses);
         self.last = other.last.or(self.last);
     }
 
     /// Whether a second run may be started beside the first: the task is no suspect, and the loss of both workers
     /// would stay below the bound.
-    pub fn bears_copy(&self) -> bool {
-        self.doubts == 0 && self.seen + 2 <= MAX_LOSSES
+    pub fn allows_copy(&self) -> bool {
+        self.suspect_losses == 0 && self.losses + 2 <= MAX_LOSSES
     }
 
     /// Whether the task must not be started again.
-    pub fn too_many(&self) -> bool {
-        self.doubts >= MAX_SUSPECTED || self.seen >= MAX_LOSSES
+    pub fn exceeded(&self) -> bool {
+        self.suspect_losses >= MAX_SUSPECTED || self.losses >= MAX_LOSSES
     }
 }
--- a/crates/job/src/fault.rs
+++ b/crates/job/src/fault.rs
@@ -64,7 +64,7 @@
             if s.count == 0 || s.count > MAX_TASKS {
                 return Err(Fault::Tasks { step });
             }
-            if s.estimate > MAX_ESTIMATE_MS {
+            if s.estimate_ms > MAX_ESTIMATE_MS {
                 return Err(Fault::Estimate { step });
             }
             if s.after.iter().any(|&a| usize::from(a) >= step) {
--- a/crates/job/src/incarnation.rs
+++ b/crates/job/src/incarnation.rs
@@ -23,7 +23,7 @@
 
 /// The worker that replaced an incarnation at its address.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Successor {
+pub enum Replacement {
     /// The same worker, restarted at this time in milliseconds since 1970 by its own host's clock.
     Restarted(u64),
     /// A worker with another id.
@@ -48,7 +48,7 @@
     }
 
     /// The incarnation of the same worker with another start time.
-    pub fn started(&self, start: u64) -> Self {
+    pub fn with_start(&self, start: u64) -> Self {
         Self { id: self.id.clone(), start }
     }
 }
--- a/crates/job/src/legacy.rs
+++ b/crates/job/src/legacy.rs
@@ -6,7 +6,10 @@
 
 use serde::Deserialize;
 
-use crate::{Handed, Moved, PartId, Progress, Round, State, Taken, TaskId, decode};
+use crate::{
+    IncomingTransfer, JobTransfer, OutgoingTransfer, Progress, Round, State, TaskId, TransferId,
+    decode,
+};
 
 /// Reads a record in any earlier layout, trying the newest first.
 pub(crate) fn read(bytes: &[u8]) -> Option<Progress> {
@@ -26,18 +29,37 @@
 struct WithoutCrashes {
     state: State,
     rounds: BTreeMap<u32, Round>,
-    next: u32,
-    ended: u64,
-    moved: Option<Moved>,
-    handed: Vec<Handed>,
-    taken: Vec<Taken>,
-    guest: bool,
+    next_round: u32,
+    ended_at: u64,
+    job_transfer: Option<JobTransfer>,
+    outgoing: Vec<OutgoingTransfer>,
+    incoming: Vec<IncomingTransfer>,
+    incoming_only: bool,
 }
 
 impl From<WithoutCrashes> for Progress {
     fn from(old: WithoutCrashes) -> Self {
-        let WithoutCrashes { state, rounds, next, ended, moved, handed, taken, guest } = old;
-        Self { state, rounds, next, ended, moved, handed, taken, guest, ..Self::default() }
+        let WithoutCrashes {
+            state,
+            rounds,
+            next_round,
+            ended_at,
+            job_transfer,
+            outgoing,
+            incoming,
+            incoming_only,
+        } = old;
+        Self {
+            state,
+            rounds,
+            next_round,
+            ended_at,
+            job_transfer,
+            outgoing,
+            incoming,
+            incoming_only,
+            ..Self::default()
+        }
     }
 }
 
@@ -46,28 +68,28 @@
 struct WithoutBudgets {
     state: State,
     rounds: BTreeMap<u32, Round>,
-    next: u32,
-    ended: u64,
-    moved: Option<Moved>,
-    handed: Vec<OutgoingWithoutBudgets>,
-    taken: Vec<IncomingWithoutBudgets>,
-    guest: bool,
+    next_round: u32,
+    ended_at: u64,
+    job_transfer: Option<JobTransfer>,
+    outgoing: Vec<OutgoingWithoutBudgets>,
+    incoming: Vec<IncomingWithoutBudgets>,
+    incoming_only: bool,
 }
 
 #[derive(Debug, Deserialize)]
 struct OutgoingWithoutBudgets {
     to: u32,
     tasks: Vec<TaskId>,
-    turn: u32,
+    seq: u32,
     delivered: bool,
     recalled: bool,
 }
 
 #[derive(Debug, Deserialize)]
 struct IncomingWithoutBudgets {
-    part: PartId,
+    transfer: TransferId,
     tasks: Vec<TaskId>,
-    turn: u32,
+    seq: u32,
 }
 
 /// The layout that has transfers of whole jobs only.
@@ -75,9 +97,9 @@
 struct WithoutTaskTransfers {
     state: State,
     rounds: BTreeMap<u32, Round>,
-    next: u32,
-    ended: u64,
-    moved: Option<Moved>,
+    next_round: u32,
+    ended_at: u64,
+    job_transfer: Option<JobTransfer>,
 }
 
 /// The layout without transfers.
@@ -85,36 +107,55 @@
 struct WithoutTransfers {
     state: State,
     rounds: BTreeMap<u32, Round>,
-    next: u32,
-    ended: u64,
+    next_round: u32,
+    ended_at: u64,
 }
 
 impl From<WithoutBudgets> for Progress {
     fn from(old: WithoutBudgets) -> Self {
-        let WithoutBudgets { state, rounds, next, ended, moved, handed, taken, guest } = old;
-        let handed = handed.into_iter().map(|h| {
-            let OutgoingWithoutBudgets { to, tasks, turn, delivered, recalled } = h;
-            Handed { to, tasks, turn, delivered, recalled, allowances: Vec::new() }
+        let WithoutBudgets {
+            state,
+            rounds,
+            next_round,
+            ended_at,
+            job_transfer,
+            outgoing,
+            incoming,
+            incoming_only,
+        } = old;
+        let outgoing = outgoing.into_iter().map(|h| {
+            let OutgoingWithoutBudgets { to, tasks, seq, delivered, recalled } = h;
+            OutgoingTransfer { to, tasks, seq, delivered, recalled, budgets: Vec::new() }
         });
-        let taken = taken.into_iter().map(|t| {
-            let IncomingWithoutBudgets { part, tasks, turn } = t;
-            Taken { part, tasks, turn, allowances: Vec::new() }
+        let incoming = incoming.into_iter().map(|t| {
+            let IncomingWithoutBudgets { transfer, tasks, seq } = t;
+            IncomingTransfer { transfer, tasks, seq, budgets: Vec::new() }
         });
-        let (handed, taken) = (handed.collect(), taken.collect());
-        Self { state, rounds, next, ended, moved, handed, taken, guest, ..Self::default() }
+        let (outgoing, incoming) = (outgoing.collect(), incoming.collect());
+        Self {
+            state,
+            rounds,
+            next_round,
+            ended_at,
+            job_transfer,
+            outgoing,
+            incoming,
+            incoming_only,
+            ..Self::default()
+        }
     }
 }
 
 impl From<WithoutTaskTransfers> for Progress {
     fn from(old: WithoutTaskTransfers) -> Self {
-        let WithoutTaskTransfers { state, rounds, next, ended, moved } = old;
-        Self { state, rounds, next, ended, moved, ..Self::default() }
+        let WithoutTaskTransfers { state, rounds, next_round, ended_at, job_transfer } = old;
+        Self { state, rounds, next_round, ended_at, job_transfer, ..Self::default() }
     }
 }
 
 impl From<WithoutTransfers> for Progress {
     fn from(old: WithoutTransfers) -> Self {
-        let WithoutTransfers { state, rounds, next, ended } = old;
-        Self { state, rounds, next, ended, ..Self::default() }
+        let WithoutTransfers { state, rounds, next_round, ended_at } = old;
+        Self { state, rounds, next_round, ended_at, ..Self::default() }
     }
 }
--- a/crates/job/src/load.rs
+++ b/crates/job/src/load.rs
@@ -10,18 +10,18 @@
     /// The claims of running and waiting long-running tasks.
     pub claimed: f64,
     /// The capacity of the listed workers that are neither silent nor about to leave.
-    pub size: f64,
+    pub capacity: f64,
     /// The workers with the most free room, for each service.
-    pub free: Vec<Free>,
+    pub free: Vec<FreeRoom>,
     /// The same for tasks that ran before; waiting tasks that never ran must leave them this room.
-    pub again: Vec<Free>,
+    pub restart_free: Vec<FreeRoom>,
     /// The same after the expected end of short tasks; a cell reserves this room for tasks that ran before.
-    pub soon: Vec<Free>,
+    pub soon_free: Vec<FreeRoom>,
 }
 
 /// The free room of one worker.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Free {
+pub struct FreeRoom {
     /// The service whose tasks the worker runs.
     pub service: String,
     /// The free room.
@@ -30,10 +30,10 @@
 
 impl Load {
     /// The most workers listed for a service: about the number of tasks that a cell transfers between two queries.
-    pub const WORKERS: usize = 16;
+    pub const MAX_WORKERS: usize = 16;
 
     /// The share of the capacity that is claimed after adding `more`, in thousandths of a core.
     pub fn share(&self, more: f64) -> f64 {
-        (self.claimed + more) / self.size.max(1.0)
+        (self.claimed + more) / self.capacity.max(1.0)
     }
 }
--- a/crates/job/src/progress.rs
+++ b/crates/job/src/progress.rs
@@ -5,7 +5,9 @@
 use derive_more::Display;
 use serde::{Deserialize, Serialize};
 
-use crate::{Allowance, Crashes, JobSpec, PartId, RecordError, Step, Task, TaskId, decode, legacy};
+use crate::{
+    Crashes, JobSpec, RecordError, Step, StepBudget, Task, TaskId, TransferId, decode, legacy,
+};
 
 /// The state of a job, as clients see it.
 #[derive(Debug, Default, Clone, Copy, PartialEq, Eq, Hash, Display, Serialize, Deserialize)]
@@ -61,7 +63,7 @@
 
 /// The transfer of a whole job to another cell.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Moved {
+pub struct JobTransfer {
     /// The receiving cell.
     pub to: u32,
     /// Whether the receiving cell's log is confirmed to hold the job.
@@ -70,32 +72,32 @@
 
 /// An outgoing transfer of tasks.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Handed {
+pub struct OutgoingTransfer {
     /// The receiving cell.
     pub to: u32,
     /// The tasks.
     pub tasks: Vec<TaskId>,
     /// The position among this cell's outgoing and incoming transfers of the job.
-    pub turn: u32,
+    pub seq: u32,
     /// Whether the receiving cell's log is confirmed to hold them.
     pub delivered: bool,
     /// Whether the receiving cell's log is confirmed to hold the recall.
     pub recalled: bool,
     /// The disruption budgets that went to the receiving cell.
-    pub allowances: Vec<Allowance>,
+    pub budgets: Vec<StepBudget>,
 }
 
 /// An incoming transfer of tasks.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Taken {
+pub struct IncomingTransfer {
     /// The transfer's id, chosen by the sending cell.
-    pub part: PartId,
+    pub transfer: TransferId,
     /// The tasks.
     pub tasks: Vec<TaskId>,
     /// The position among this cell's outgoing and incoming transfers of the job.
-    pub turn: u32,
+    pub seq: u32,
     /// The disruption budgets that came from the sending cell.
-    pub allowances: Vec<Allowance>,
+    pub budgets: Vec<StepBudget>,
 }
 
 /// The progress of a job, as the owner of a cell stores it.
@@ -106,17 +108,17 @@
     /// Repetitions that have started and are not done.
     pub rounds: BTreeMap<u32, Round>,
     /// The next repetition to start.
-    pub next: u32,
+    pub next_round: u32,
     /// When the job ended, in milliseconds since 1970; 0 before that.
-    pub ended: u64,
+    pub ended_at: u64,
     /// The transfer of the whole job out of its home cell, if there was one.
-    pub moved: Option<Moved>,
+    pub job_transfer: Option<JobTransfer>,
     /// Outgoing transfers of tasks, indexed by their numbers.
-    pub handed: Vec<Handed>,
+    pub outgoing: Vec<OutgoingTransfer>,
     /// Incoming transfers of tasks.
-    pub taken: Vec<Taken>,
+    pub incoming: Vec<IncomingTransfer>,
     /// Whether the cell has only tasks of the job from incoming transfers.
-    pub guest: bool,
+    pub incoming_only: bool,
     /// The worker losses under each task.
     pub crashes: BTreeMap<TaskId, Crashes>,
 }
@@ -139,56 +141,57 @@
             round.steps.len() == spec.steps.len()
                 && steps.clone().all(|(step, s)| step.tasks.len() == usize::from(s.count))
         };
-        let handed = self.handed.iter().flat_map(|h| &h.tasks);
-        let taken = self.taken.iter().flat_map(|t| &t.tasks);
-        self.rounds.values().all(complete) && handed.chain(taken).all(|task| spec.has(*task))
+        let outgoing = self.outgoing.iter().flat_map(|h| &h.tasks);
+        let incoming = self.incoming.iter().flat_map(|t| &t.tasks);
+        self.rounds.values().all(complete)
+            && outgoing.chain(incoming).all(|task| spec.has_task(*task))
     }
 
     /// Whether a task is transferred to another cell; the newest of its transfers counts.
-    pub fn away(&self, id: TaskId) -> bool {
-        let handed = self.handed.iter().filter(|h| h.tasks.contains(&id)).map(|h| h.turn).max();
-        let taken = self.taken.iter().filter(|t| t.tasks.contains(&id)).map(|t| t.turn).max();
-        match (handed, taken) {
-            (None, None) => self.guest || self.moved.is_some(),
-            (handed, taken) => handed > taken,
+    pub fn is_transferred(&self, id: TaskId) -> bool {
+        let outgoing = self.outgoing.iter().filter(|h| h.tasks.contains(&id)).map(|h| h.seq).max();
+        let incoming = self.incoming.iter().filter(|t| t.tasks.contains(&id)).map(|t| t.seq).max();
+        match (outgoing, incoming) {
+            (None, None) => self.incoming_only || self.job_transfer.is_some(),
+            (outgoing, incoming) => outgoing > incoming,
         }
     }
 
     /// Whether a task is given up after too many worker losses.
     pub fn given_up(&self, id: TaskId) -> bool {
-        self.crashes.get(&id).is_some_and(Crashes::too_many)
+        self.crashes.get(&id).is_some_and(Crashes::exceeded)
     }
 
     /// Whether all tasks of the job are in other cells.
-    pub fn elsewhere(&self) -> bool {
-        (self.guest || self.moved.is_some()) && self.taken.is_empty()
+    pub fn all_transferred(&self) -> bool {
+        (self.incoming_only || self.job_transfer.is_some()) && self.incoming.is_empty()
     }
 
     /// This cell's share of a step's disruption budget, of which `most` is the total over all cells; the shares
     /// that went out with transfers are subtracted.
-    pub fn allowance(&self, step: u16, most: u16) -> u16 {
-        let sum = |allowances: &[Allowance]| -> u16 {
-            allowances.iter().filter(|a| a.step == step).map(|a| a.most).sum()
+    pub fn budget(&self, step: u16, most: u16) -> u16 {
+        let sum = |budgets: &[StepBudget]| -> u16 {
+            budgets.iter().filter(|b| b.step == step).map(|b| b.limit).sum()
         };
-        let own = if self.guest || self.moved.is_some() { 0 } else { most };
-        let taken: u16 = self.taken.iter().map(|t| sum(&t.allowances)).sum();
-        let handed: u16 = self.handed.iter().map(|h| sum(&h.allowances)).sum();
-        (own + taken).saturating_sub(handed)
+        let own = if self.incoming_only || self.job_transfer.is_some() { 0 } else { most };
+        let incoming: u16 = self.incoming.iter().map(|t| sum(&t.budgets)).sum();
+        let outgoing: u16 = self.outgoing.iter().map(|h| sum(&h.budgets)).sum();
+        (own + incoming).saturating_sub(outgoing)
     }
 
     /// The position of the next transfer among those of the job.
-    pub fn turn(&self) -> u32 {
-        (self.handed.len() + self.taken.len()) as u32
+    pub fn next_seq(&self) -> u32 {
+        (self.outgoing.len() + self.incoming.len()) as u32
     }
 
     /// The outgoing transfer with an id.
-    pub fn handed(&self, part: PartId) -> Option<&Handed> {
-        self.handed.get(part.number as usize)
+    pub fn outgoing(&self, transfer: TransferId) -> Option<&OutgoingTransfer> {
+        self.outgoing.get(transfer.number as usize)
     }
 
     /// The outgoing transfer with an id, mutable.
-    pub fn handed_mut(&mut self, part: PartId) -> Option<&mut Handed> {
-        self.handed.get_mut(part.number as usize)
+    pub fn outgoing_mut(&mut self, transfer: TransferId) -> Option<&mut OutgoingTransfer> {
+        self.outgoing.get_mut(transfer.number as usize)
     }
 
     /// The task, if its repetition is in progress.
@@ -214,7 +217,7 @@
     }
 
     /// Whether the job has an active run.
-    pub fn live(&self) -> bool {
-        self.tasks().any(|(.., t)| !t.live.is_empty())
+    pub fn has_active(&self) -> bool {
+        self.tasks().any(|(.., t)| !t.active.is_empty())
     }
 }
--- a/crates/job/src/record.rs
+++ b/crates/job/src/record.rs
@@ -28,7 +28,7 @@
     /// The job's specification.
     pub spec: JobSpec,
     /// When the job was accepted, in milliseconds since 1970 by the accepting host's clock.
-    pub taken: u64,
+    pub accepted_at: u64,
 }
 
 /// Why a record can't be read.
@@ -59,7 +59,7 @@
 /// Encodes a record with compression, unless that makes it longer.
 ///
 /// Load pattern: each start and each end of a task rewrites the record of its job, with the names of all workers.
-pub fn encode_packed(value: &impl Serialize) -> Vec<u8> {
+pub fn encode_compressed(value: &impl Serialize) -> Vec<u8> {
     let plain = encode(value);
     let mut compressed = DeflateEncoder::new(vec![COMPRESSED], Compression::default());
     let finished = compressed.write_all(&plain[1..]).and_then(|()| compressed.finish());
--- a/crates/job/src/spec.rs
+++ b/crates/job/src/spec.rs
@@ -23,9 +23,9 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Repeat {
     /// When the first repetition is due, in milliseconds since 1970.
-    pub first: u64,
+    pub first_at: u64,
     /// Milliseconds between the due times of two repetitions.
-    pub every: u64,
+    pub interval_ms: u64,
     /// The number of repetitions.
     pub count: u32,
 }
@@ -33,7 +33,7 @@
 impl Repeat {
     /// When a repetition is due, in milliseconds since 1970.
     pub fn due(&self, round: u32) -> u64 {
-        self.first.saturating_add(self.every.saturating_mul(u64::from(round)))
+        self.first_at.saturating_add(self.interval_ms.saturating_mul(u64::from(round)))
     }
 }
 
@@ -45,7 +45,7 @@
     /// The room that one task needs.
     pub room: Room,
     /// The client's estimate of a task's run time, in milliseconds.
-    pub estimate: u64,
+    pub estimate_ms: u64,
     /// The indices of the steps that have to be done first.
     pub after: Vec<u16>,
     /// Whether the tasks are a gang, which has to run all at once.
@@ -55,23 +55,23 @@
     /// A label that the workers must have.
     pub requires: Option<String>,
     /// The rack that holds the tasks' data.
-    pub rack: Option<String>,
+    pub data_rack: Option<String>,
     /// The most tasks of the step on one worker; 0 for no limit.
-    pub spread: u16,
+    pub worker_limit: u16,
     /// Whether a task may have speculative runs.
-    pub copies: bool,
+    pub speculative: bool,
     /// Whether the tasks are long-running: they run until the job is cancelled.
-    pub lasting: bool,
+    pub long_running: bool,
     /// Whether the tasks save checkpoints.
-    pub saves: bool,
+    pub has_checkpoints: bool,
     /// The image that the tasks run; interference is learned for each image.
     pub image: Option<Arc<str>>,
     /// The target of a serving task's tail latency, in milliseconds.
-    pub target: Option<u32>,
+    pub target_ms: Option<u32>,
     /// Whether the tasks are fillers, which use only processors that others leave idle.
     pub filler: bool,
     /// The disruption budget of a long-running step.
-    pub may_miss: Option<u16>,
+    pub disruption_budget: Option<u16>,
 }
 
 impl StepSpec {
@@ -82,12 +82,12 @@
 
     /// The estimated work of one task, in thousandths of a core times milliseconds.
     pub fn work(&self) -> f64 {
-        f64::from(self.room.cpu) * self.estimate as f64
+        f64::from(self.room.cpu) * self.estimate_ms as f64
     }
 
     /// Whether the tasks serve requests with a target latency.
     pub fn serves(&self) -> bool {
-        self.target.is_some()
+        self.target_ms.is_some()
     }
 }
 
@@ -101,40 +101,40 @@
     /// The priority; 0 is the highest.
     pub priority: u32,
     /// The number of failed runs at which a task fails.
-    pub attempts: u32,
+    pub max_failures: u32,
     /// The latency objective as a multiple of the job's critical path.
     pub stretch: f64,
     /// The time added to that objective, in milliseconds.
-    pub slack: u64,
+    pub slack_ms: u64,
     /// The times of tickets, if the queue needs them.
-    pub advice: Option<Advice>,
+    pub ticket_times: Option<TicketTimes>,
 }
 
 /// The times of a queue's tickets.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Advice {
+pub struct TicketTimes {
     /// The duration of a ticket request, in milliseconds.
-    pub base: u64,
+    pub call_ms: u64,
     /// The duration that each worker in the request adds, in milliseconds.
-    pub each: u64,
+    pub worker_ms: u64,
     /// The validity of a ticket, in milliseconds.
-    pub valid: u64,
+    pub valid_ms: u64,
 }
 
 impl JobSpec {
     /// The length of the critical path by the steps' estimates, in milliseconds; steps for which `done` is true
     /// count as 0.
-    pub fn chain(&self, done: impl Fn(usize) -> bool) -> u64 {
+    pub fn critical_path(&self, done: impl Fn(usize) -> bool) -> u64 {
         let mut ends = vec![0u64; self.steps.len()];
         for (i, step) in self.steps.iter().enumerate() {
             let before = step.after.iter().map(|&a| ends[usize::from(a)]).max().unwrap_or(0);
-            ends[i] = before + if done(i) { 0 } else { step.estimate };
+            ends[i] = before + if done(i) { 0 } else { step.estimate_ms };
         }
         ends.into_iter().max().unwrap_or(0)
     }
 
     /// Whether the job has such a task.
-    pub fn has(&self, task: TaskId) -> bool {
+    pub fn has_task(&self, task: TaskId) -> bool {
         let step = self.steps.get(usize::from(task.step));
         step.is_some_and(|s| task.index < s.count) && task.round < self.rounds().max(1)
     }
@@ -150,7 +150,7 @@
     }
 
     /// Whether some step is long-running.
-    pub fn lasts(&self) -> bool {
-        self.steps.iter().any(|s| s.lasting)
+    pub fn has_long_running(&self) -> bool {
+        self.steps.iter().any(|s| s.long_running)
     }
 }
--- a/crates/job/src/task.rs
+++ b/crates/job/src/task.rs
@@ -19,40 +19,40 @@
     /// Whether a run has succeeded.
     pub done: bool,
     /// The highest assigned run number.
-    pub last: u32,
+    pub last_run: u32,
     /// The numbers of failed runs, as a worker may report one end to several owners.
-    pub failed: Vec<u32>,
+    pub failed_runs: Vec<u32>,
     /// The active runs.
-    pub live: Vec<Run>,
+    pub active: Vec<Run>,
     /// The newest checkpoint, empty if there is none.
-    pub saved: String,
+    pub checkpoint: String,
 }
 
 impl Task {
     /// Whether the task waits to be started.
-    pub fn waits(&self) -> bool {
-        !self.done && self.live.is_empty()
+    pub fn is_waiting(&self) -> bool {
+        !self.done && self.active.is_empty()
     }
 
     /// Adds a failed run; false if it was already counted.
-    pub fn fail(&mut self, number: u32) -> bool {
-        let first = !self.failed.contains(&number);
+    pub fn add_failure(&mut self, number: u32) -> bool {
+        let first = !self.failed_runs.contains(&number);
         if first {
-            self.failed.push(number);
+            self.failed_runs.push(number);
         }
         first
     }
 
     /// The active run with this number.
-    pub fn run(&self, number: u32) -> Option<&Run> {
-        self.live.iter().find(|r| r.number == number)
+    pub fn active_run(&self, number: u32) -> Option<&Run> {
+        self.active.iter().find(|r| r.number == number)
     }
 
     /// Removes an active run; false if there is none with this number.
-    pub fn drop_run(&mut self, number: u32) -> bool {
-        let before = self.live.len();
-        self.live.retain(|r| r.number != number);
-        self.live.len() < before
+    pub fn remove_run(&mut self, number: u32) -> bool {
+        let before = self.active.len();
+        self.active.retain(|r| r.number != number);
+        self.active.len() < before
     }
 }
 
@@ -62,13 +62,13 @@
     /// The tasks by index.
     pub tasks: Vec<Task>,
     /// The numbers of failed runs of the step as a gang.
-    pub failed: Vec<u32>,
+    pub failed_runs: Vec<u32>,
 }
 
 impl Step {
     /// A step none of whose tasks has started.
     pub fn fresh(count: u16) -> Self {
-        Self { tasks: vec![Task::default(); usize::from(count)], failed: Vec::new() }
+        Self { tasks: vec![Task::default(); usize::from(count)], failed_runs: Vec::new() }
     }
 
     /// Whether every task is done.
--- a/crates/job/src/transfer.rs
+++ b/crates/job/src/transfer.rs
@@ -15,7 +15,7 @@
 
 /// The id of a transfer; each of its records is written once and never replaced.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
-pub struct PartId {
+pub struct TransferId {
     /// The job.
     pub job: JobId,
     /// The cell that sends the tasks.
@@ -30,49 +30,49 @@
     /// A submitted job.
     Job(JobId),
     /// Tasks transferred from another cell.
-    Part(PartId),
+    Transfer(TransferId),
     /// A recall: the notice that the job of such tasks is over.
-    Recall(PartId),
+    Recall(TransferId),
 }
 
 /// Transferred tasks with the data that the receiving cell needs.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
-pub struct Part {
+pub struct Transfer {
     /// The job as submitted.
     pub submission: Submission,
     /// The tasks.
-    pub tasks: Vec<PartTask>,
+    pub tasks: Vec<TransferredTask>,
     /// The share of each step's disruption budget that goes to the receiving cell.
-    pub allowances: Vec<Allowance>,
+    pub budgets: Vec<StepBudget>,
     /// The worker losses under the tasks.
     pub crashes: Vec<(TaskId, Crashes)>,
 }
 
 /// A cell's share of a step's disruption budget.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Allowance {
+pub struct StepBudget {
     /// The step.
     pub step: u16,
     /// How many tasks may be unavailable at once.
-    pub most: u16,
+    pub limit: u16,
 }
 
 /// The layout without worker crashes.
 #[derive(Debug, Deserialize)]
 struct WithoutCrashes {
     submission: Submission,
-    tasks: Vec<PartTask>,
-    allowances: Vec<Allowance>,
+    tasks: Vec<TransferredTask>,
+    budgets: Vec<StepBudget>,
 }
 
 /// The layout without worker crashes and disruption budgets.
 #[derive(Debug, Deserialize)]
 struct WithoutBudgets {
     submission: Submission,
-    tasks: Vec<PartTask>,
+    tasks: Vec<TransferredTask>,
 }
 
-impl Part {
+impl Transfer {
     /// Reads a record in the current or an earlier layout.
     ///
     /// # Errors
@@ -87,29 +87,29 @@
     }
 }
 
-impl From<WithoutCrashes> for Part {
+impl From<WithoutCrashes> for Transfer {
     fn from(old: WithoutCrashes) -> Self {
-        let WithoutCrashes { submission, tasks, allowances } = old;
-        Self { submission, tasks, allowances, crashes: Vec::new() }
+        let WithoutCrashes { submission, tasks, budgets } = old;
+        Self { submission, tasks, budgets, crashes: Vec::new() }
     }
 }
 
-impl From<WithoutBudgets> for Part {
+impl From<WithoutBudgets> for Transfer {
     fn from(old: WithoutBudgets) -> Self {
         let WithoutBudgets { submission, tasks } = old;
-        Self { submission, tasks, allowances: Vec::new(), crashes: Vec::new() }
+        Self { submission, tasks, budgets: Vec::new(), crashes: Vec::new() }
     }
 }
 
 /// A task that continues in another cell.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct PartTask {
+pub struct TransferredTask {
     /// The task.
     pub task: TaskId,
     /// The highest assigned run number.
-    pub last: u32,
+    pub last_run: u32,
     /// The newest checkpoint, empty if there is none.
-    pub saved: String,
+    pub checkpoint: String,
 }
 
 impl Key {
@@ -117,17 +117,17 @@
     pub fn job(self) -> JobId {
         match self {
             Self::Job(job) => job,
-            Self::Part(part) | Self::Recall(part) => part.job,
+            Self::Transfer(transfer) | Self::Recall(transfer) => transfer.job,
         }
     }
 }
 
 impl fmt::Display for Key {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        let (separator, PartId { job, from, number }) = match self {
+        let (separator, TransferId { job, from, number }) = match self {
             Self::Job(job) => return job.fmt(f),
-            Self::Part(part) => (TRANSFER_SEPARATOR, part),
-            Self::Recall(part) => (RECALL_SEPARATOR, part),
+            Self::Transfer(transfer) => (TRANSFER_SEPARATOR, transfer),
+            Self::Recall(transfer) => (RECALL_SEPARATOR, transfer),
         };
         write!(f, "{job}{separator}{from}.{number}")
     }
@@ -143,7 +143,11 @@
         let invalid = || InvalidId::of(text);
         let (from, number) = rest.split_once('.').ok_or_else(invalid)?;
         let parse = |digits: &str| digits.parse().map_err(|_| invalid());
-        let part = PartId { job: job.parse()?, from: parse(from)?, number: parse(number)? };
-        Ok(if text.contains(TRANSFER_SEPARATOR) { Self::Part(part) } else { Self::Recall(part) })
+        let transfer = TransferId { job: job.parse()?, from: parse(from)?, number: parse(number)? };
+        Ok(if text.contains(TRANSFER_SEPARATOR) {
+            Self::Transfer(transfer)
+        } else {
+            Self::Recall(transfer)
+        })
     }
 }
--- a/crates/job/src/worker.rs
+++ b/crates/job/src/worker.rs
@@ -21,7 +21,7 @@
     /// Whether it is about to leave.
     pub draining: bool,
     /// The minimum time until it leaves, in milliseconds, if it is about to.
-    pub remaining: Option<u64>,
+    pub remaining_ms: Option<u64>,
     /// The room of the worker.
     pub room: Room,
     /// Its kind and its rack.
@@ -29,18 +29,18 @@
     /// The machine that it runs on.
     pub machine: Option<String>,
     /// The offset of the list entry; of two incarnations at one address the later one has the higher offset.
-    pub written: u64,
+    pub offset: u64,
     /// The remaining warm-up time in milliseconds at the time of the entry; not stored in the log.
     #[serde(skip)]
-    pub cold: u64,
+    pub warmup_ms: u64,
     /// The start time in milliseconds since 1970 by the worker's host clock, 0 if unknown; not stored in the log.
     #[serde(skip)]
-    pub start: u64,
+    pub started_at: u64,
 }
 
 /// A worker's reply to an order.
-#[derive(Debug, Clone, Copy, PartialEq, Eq, Display)]
-pub enum Told {
+#[derive(derive_more::Debug, Clone, Copy, PartialEq, Eq, Display)]
+pub enum OrderReply {
     /// The order is carried out, now or before.
     #[display("done")]
     Done,
@@ -49,19 +49,24 @@
     Fenced,
     /// The worker already had this run or a later one of the task.
     #[display("refused: the run is old")]
-    Old,
+    #[debug("Old")]
+    OutdatedRun,
     /// The lease ended before the order arrived.
     #[display("refused: the lease had ended")]
-    Late,
+    #[debug("Late")]
+    LeaseEnded,
     /// The worker has too little free room.
     #[display("refused: no room")]
-    Full,
+    #[debug("Full")]
+    NoRoom,
     /// The ticket is invalid or has expired.
     #[display("refused: the ticket does not hold")]
-    Ticket,
+    #[debug("Ticket")]
+    InvalidTicket,
     /// The worker refused the order as malformed.
     #[display("refused: not understood")]
-    Bad,
+    #[debug("Bad")]
+    Malformed,
 }
 
 /// A run in progress.
@@ -72,40 +77,40 @@
     /// The run's number.
     pub run: u32,
     /// The newest checkpoint.
-    pub saved: String,
+    pub checkpoint: String,
     /// The progress in percent; 100 for a long-running task that is at work.
     pub percent: f64,
     /// The tail latency of a serving task in milliseconds, otherwise the used thousandths of a core.
-    pub figure: Option<f64>,
+    pub metric: Option<f64>,
 }
 
 /// The end of a run, as its worker reports it.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Ended {
+pub struct EndedRun {
     /// Increases with each end within a worker's incarnation.
-    pub number: u64,
+    pub seq: u64,
     /// The task.
     pub task: TaskId,
     /// The run's number.
     pub run: u32,
     /// How it ended.
-    pub how: How,
+    pub reason: EndReason,
     /// The newest checkpoint.
-    pub saved: String,
+    pub checkpoint: String,
 }
 
 /// The end of a run with its worker.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct RunEnd {
     /// The worker's incarnation.
-    pub life: Incarnation,
+    pub incarnation: Incarnation,
     /// The worker's report.
-    pub ended: Ended,
+    pub ended: EndedRun,
 }
 
 /// How a run ended.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, Display, Serialize, Deserialize)]
-pub enum How {
+pub enum EndReason {
     /// It succeeded.
     #[display("done")]
     Done,
@@ -120,21 +125,21 @@
     Lapsed,
     /// Another run of its gang ended.
     #[display("broken")]
-    Broken,
+    GangEnded,
     /// Not all runs of its gang started in time.
     #[display("alone")]
-    Alone,
+    GangIncomplete,
 }
 
 /// The runs on a worker and the ends not yet acknowledged.
 #[derive(Debug, Clone, Default, PartialEq)]
-pub struct Held {
+pub struct WorkerRuns {
     /// The start time in milliseconds since 1970 by the worker's host clock; 0 if unknown.
-    pub start: u64,
+    pub started_at: u64,
     /// The worker's clock, in milliseconds.
-    pub clock: u64,
+    pub clock_ms: u64,
     /// The runs in progress.
     pub running: Vec<Running>,
     /// The ends that are not acknowledged yet.
-    pub ended: Vec<Ended>,
+    pub ended: Vec<EndedRun>,
 }
--- a/crates/job/tests/model.rs
+++ b/crates/job/tests/model.rs
@@ -6,12 +6,13 @@
 
 use myrtle_base::Room;
 use myrtle_job::{
-    Fault, Incarnation, JobId, JobSpec, Key, Listing, Moved, Part, PartId, Progress, Round, Run,
-    State, Step, StepSpec, Submission, Task, TaskId, decode, encode, encode_packed,
+    Fault, Incarnation, JobId, JobSpec, JobTransfer, Key, Listing, Progress, Round, Run, State,
+    Step, StepSpec, Submission, Task, TaskId, Transfer, TransferId, decode, encode,
+    encode_compressed,
 };
 
-fn step(count: u16, estimate: u64, after: &[u16]) -> StepSpec {
-    StepSpec { count, estimate, after: after.to_vec(), ..StepSpec::default() }
+fn step(count: u16, estimate_ms: u64, after: &[u16]) -> StepSpec {
+    StepSpec { count, estimate_ms, after: after.to_vec(), ..StepSpec::default() }
 }
 
 fn job(steps: Vec<StepSpec>) -> JobSpec {
@@ -39,7 +40,7 @@
 
 #[rstest]
 #[case::job("5c0e7a21d94b36f8", "5c0e7a21d94b36f8")]
-#[case::part("5c0e7a21d94b36f8_3.17", "5c0e7a21d94b36f8")]
+#[case::transfer("5c0e7a21d94b36f8_3.17", "5c0e7a21d94b36f8")]
 #[case::recall("5c0e7a21d94b36f8~0.0", "5c0e7a21d94b36f8")]
 fn a_record_key_survives_a_round_trip(#[case] name: &str, #[case] job: &str) {
     let key: Key = name.parse().unwrap();
@@ -68,9 +69,9 @@
 #[test]
 fn the_critical_path_counts_steps_that_are_not_done() {
     let spec = job(vec![step(1, 100, &[]), step(1, 500, &[]), step(1, 50, &[0, 1])]);
-    assert_eq!(spec.chain(|_| false), 550);
-    assert_eq!(spec.chain(|s| s == 1), 150);
-    assert_eq!(spec.chain(|_| true), 0);
+    assert_eq!(spec.critical_path(|_| false), 550);
+    assert_eq!(spec.critical_path(|s| s == 1), 150);
+    assert_eq!(spec.critical_path(|_| true), 0);
 }
 
 #[test]
@@ -85,12 +86,12 @@
 #[test]
 fn records_survive_a_round_trip() {
     let spec = job(vec![step(3, 10, &[])]);
-    let submission = Submission { spec: spec.clone(), taken: 7, ..Submission::default() };
+    let submission = Submission { spec: spec.clone(), accepted_at: 7, ..Submission::default() };
     assert_eq!(decode::<Submission>(&encode(&submission)).unwrap(), submission);
     let mut progress = Progress::default();
     let mut round = Round::fresh(&spec);
-    let live = vec![Run { number: 2, worker: Incarnation::new("w", 1_700_000_000_123) }];
-    round.steps[0].tasks[1] = Task { last: 2, failed: vec![1], live, ..Task::default() };
+    let active = vec![Run { number: 2, worker: Incarnation::new("w", 1_700_000_000_123) }];
+    round.steps[0].tasks[1] = Task { last_run: 2, failed_runs: vec![1], active, ..Task::default() };
     progress.rounds.insert(0, round);
     assert_eq!(decode::<Progress>(&encode(&progress)).unwrap(), progress);
 }
@@ -117,13 +118,13 @@
         address: ([10, 0, 3, 21], 7001).into(),
         data_centre: "eu-1a".into(),
         draining: false,
-        remaining: None,
+        remaining_ms: None,
         room: Room { cpu: 32_000, mem: 128_000, accel: 0 },
         labels: vec!["kind-2".into(), "r1-3".into()],
         machine: Some("m-17".into()),
-        written: 300_000,
-        cold: 0,
-        start: 0,
+        offset: 300_000,
+        warmup_ms: 0,
+        started_at: 0,
     };
     let record = encode(&listing);
     assert_eq!(decode::<Listing>(&record).unwrap(), listing);
@@ -145,8 +146,8 @@
 #[test]
 fn a_run_counts_as_failed_once() {
     let mut task = Task::default();
-    assert!(task.fail(3));
-    assert!(!task.fail(3));
+    assert!(task.add_failure(3));
+    assert!(!task.add_failure(3));
     assert_eq!(Step::fresh(2).tasks.len(), 2);
 }
 
@@ -160,30 +161,31 @@
 #[test]
 fn records_without_disruption_budgets_are_read() {
     let task = TaskId { job: JobId(7), round: 0, step: 0, index: 3 };
-    let handed = vec![(4u32, vec![task], 0u32, true, false)];
+    let outgoing = vec![(4u32, vec![task], 0u32, true, false)];
     let rounds: BTreeMap<u32, Round> = BTreeMap::new();
-    let taken: Vec<(PartId, Vec<TaskId>, u32)> = Vec::new();
-    let moved: Option<Moved> = None;
-    let old = encode(&(State::Running, rounds, 1u32, 0u64, moved, handed, taken, false));
+    let incoming: Vec<(TransferId, Vec<TaskId>, u32)> = Vec::new();
+    let job_transfer: Option<JobTransfer> = None;
+    let old =
+        encode(&(State::Running, rounds, 1u32, 0u64, job_transfer, outgoing, incoming, false));
     let read = Progress::read(&old).unwrap();
-    assert!(read.away(task));
-    assert_eq!((read.handed[0].to, read.allowance(0, 2)), (4, 2));
+    assert!(read.is_transferred(task));
+    assert_eq!((read.outgoing[0].to, read.budget(0, 2)), (4, 2));
 
     let old = encode(&(Submission::default(), vec![(task, 2u32, "saved")]));
-    let part = Part::read(&old).unwrap();
-    assert_eq!((part.tasks[0].last, part.allowances.len()), (2, 0));
+    let transfer = Transfer::read(&old).unwrap();
+    assert_eq!((transfer.tasks[0].last_run, transfer.budgets.len()), (2, 0));
 }
 
 /// The progress of a job of two steps of 40 tasks; those of the second run on 40 workers.
 fn wide_job() -> Progress {
     let spec = job(vec![step(40, 10, &[]), step(40, 10, &[0])]);
     let mut round = Round::fresh(&spec);
-    round.steps[0].tasks.iter_mut().for_each(|t| (t.done, t.last) = (true, 1));
+    round.steps[0].tasks.iter_mut().for_each(|t| (t.done, t.last_run) = (true, 1));
     for (n, task) in round.steps[1].tasks.iter_mut().enumerate() {
         let spread = (n as u64 + 1).wrapping_mul(0x9e37_79b9_7f4a_7c15);
         let id = format!("i-{:010x}", spread >> 24);
         let worker = Incarnation::new(id, 1_786_508_800_000 + (spread >> 48));
-        *task = Task { last: 1, live: vec![Run { number: 1, worker }], ..Task::default() };
+        *task = Task { last_run: 1, active: vec![Run { number: 1, worker }], ..Task::default() };
     }
     Progress { rounds: BTreeMap::from([(0, round)]), state: State::Running, ..Progress::default() }
 }
@@ -191,7 +193,7 @@
 #[test]
 fn compression_halves_a_record_of_many_tasks() {
     let progress = wide_job();
-    let (plain, compressed) = (encode(&progress), encode_packed(&progress));
+    let (plain, compressed) = (encode(&progress), encode_compressed(&progress));
     assert!(2 * compressed.len() <= plain.len(), "{} of {} bytes", compressed.len(), plain.len());
     assert_eq!(Progress::read(&compressed).unwrap(), progress);
     assert_eq!(Progress::read(&plain).unwrap(), progress, "uncompressed records are read");
@@ -199,15 +201,15 @@
 
 #[test]
 fn compression_never_makes_a_record_longer() {
-    let short = Moved { to: 3, delivered: true };
-    assert_eq!(encode_packed(&short), encode(&short));
+    let short = JobTransfer { to: 3, delivered: true };
+    assert_eq!(encode_compressed(&short), encode(&short));
     let progress = Progress::default();
-    assert!(encode_packed(&progress).len() <= encode(&progress).len());
+    assert!(encode_compressed(&progress).len() <= encode(&progress).len());
 }
 
 #[test]
 fn a_truncated_or_changed_record_is_refused() {
-    let compressed = encode_packed(&wide_job());
+    let compressed = encode_compressed(&wide_job());
     for cut in [1, 2, compressed.len() / 2, compressed.len() - 1] {
         assert!(Progress::read(&compressed[..cut]).is_err(), "{cut} bytes");
     }
--- a/crates/load/src/overload/crash.rs
+++ b/crates/load/src/overload/crash.rs
@@ -1,6 +1,6 @@
 //! Workers that crash by what they start, and come back at their addresses: under other ids, or under their own.
 
-use myrtle_job::{Incarnation, Listing, Successor, TaskId};
+use myrtle_job::{Incarnation, Listing, Replacement, TaskId};
 
 use super::draw::CRASHES;
 use super::machine::Machine;
@@ -52,12 +52,12 @@
         for (at, incarnation, listing) in back {
             // Every other one keeps its id.
             let (id, by) = match (at / STEP).is_multiple_of(2) {
-                true => (incarnation.id().clone(), Successor::Restarted(now)),
-                false => (format!("w{}-{now}", listing.address.port()).into(), Successor::Other),
+                true => (incarnation.id().clone(), Replacement::Restarted(now)),
+                false => (format!("w{}-{now}", listing.address.port()).into(), Replacement::Other),
             };
             // Calls to the one that crashed reach whoever is there by now.
             self.cell.replaced(&incarnation, by, now);
-            let listing = Listing { written: now, start: now, ..listing };
+            let listing = Listing { offset: now, started_at: now, ..listing };
             self.machines.insert(Incarnation::new(id, now), Machine::new(listing));
         }
     }
--- a/crates/load/src/overload/draw.rs
+++ b/crates/load/src/overload/draw.rs
@@ -125,14 +125,14 @@
         StepSpec {
             count: if wide { shape.widest } else { width as u16 },
             room: Room { cpu, mem: shape.mem, accel: 0 },
-            estimate: estimate as u64,
+            estimate_ms: estimate as u64,
             after: if step == 0 { vec![] } else { vec![step as u16 - 1] },
-            lasting: kind == Kind::Lasting,
+            long_running: kind == Kind::Lasting,
             filler: kind == Kind::Filling,
-            saves: kind == Kind::Filling,
+            has_checkpoints: kind == Kind::Filling,
             image: image.clone(),
-            target: (kind == Kind::Lasting).then_some(150),
-            may_miss: (kind == Kind::Lasting).then_some(2),
+            target_ms: (kind == Kind::Lasting).then_some(150),
+            disruption_budget: (kind == Kind::Lasting).then_some(2),
             ..StepSpec::default()
         }
     });
@@ -140,13 +140,13 @@
     let policy = Policy {
         queue: format!("{kind:?}"),
         service: "s".into(),
-        attempts: 3,
+        max_failures: 3,
         priority: shape.priority,
         stretch: shape.stretch,
-        slack: shape.slack,
-        advice: None,
+        slack_ms: shape.slack,
+        ticket_times: None,
     };
-    Submission { policy, spec: JobSpec { body: "b".into(), steps, repeat: None }, taken: now }
+    Submission { policy, spec: JobSpec { body: "b".into(), steps, repeat: None }, accepted_at: now }
 }
 
 /// What all tasks of a job ask for, in thousandths of a core.
@@ -209,6 +209,6 @@
 
 /// The latency objective of a job, in milliseconds.
 pub fn objective(submission: &Submission) -> u64 {
-    let chain = submission.spec.chain(|_| false);
-    (submission.policy.stretch * chain as f64) as u64 + submission.policy.slack
+    let chain = submission.spec.critical_path(|_| false);
+    (submission.policy.stretch * chain as f64) as u64 + submission.policy.slack_ms
 }
--- a/crates/load/src/overload/fleet.rs
+++ b/crates/load/src/overload/fleet.rs
@@ -1,7 +1,7 @@
 //! Workers come, leave and are back, as the scene says.
 
 use myrtle_base::Room;
-use myrtle_job::{Incarnation, Listing, Successor};
+use myrtle_job::{Incarnation, Listing, Replacement};
 
 use super::draw::millis;
 use super::machine::Machine;
@@ -23,13 +23,13 @@
             address: ([10, 0, 0, 1], 1_000 + number).into(),
             data_centre: CENTRES[usize::from(number) % CENTRES.len()].into(),
             draining: false,
-            remaining: None,
+            remaining_ms: None,
             room: Room { cpu, mem: 4 * cpu, accel: 0 },
             labels: vec![],
             machine: None,
-            written: 1,
-            cold: 0,
-            start: 0,
+            offset: 1,
+            warmup_ms: 0,
+            started_at: 0,
         };
         self.machines.insert(Incarnation::new(format!("w{number}"), 0), Machine::new(listing));
     }
@@ -59,7 +59,7 @@
                 for name in names {
                     self.machines.remove(&name);
                     self.cell.remove_listing(name.id(), now);
-                    self.cell.replaced(&name, Successor::Other, now);
+                    self.cell.replaced(&name, Replacement::Other, now);
                 }
             }
             if due(back) {
--- a/crates/load/src/overload/machine.rs
+++ b/crates/load/src/overload/machine.rs
@@ -7,7 +7,7 @@
 use rand_chacha::ChaCha8Rng;
 
 use myrtle_base::Room;
-use myrtle_job::{Ended, Held, How, Listing, Running, StepSpec, TaskId, Told};
+use myrtle_job::{EndReason, EndedRun, Listing, OrderReply, Running, StepSpec, TaskId, WorkerRuns};
 
 use super::draw::IMAGES;
 
@@ -47,7 +47,7 @@
     /// Whether it has ends to tell.
     pub news: bool,
     runs: BTreeMap<TaskId, Work>,
-    ended: Vec<Ended>,
+    ended: Vec<EndedRun>,
     ends: u64,
 }
 
@@ -61,10 +61,10 @@
     }
 
     /// Starts a run.
-    pub fn start(&mut self, task: TaskId, run: u32, spec: &StepSpec) -> Told {
+    pub fn start(&mut self, task: TaskId, run: u32, spec: &StepSpec) -> OrderReply {
         let used = self.runs.values().fold(Room::default(), |sum, w| sum + w.spec.claim());
-        if !spec.claim().fits(&self.listing.room.less(&used)) {
-            return Told::Full;
+        if !spec.claim().fits(&self.listing.room.minus(&used)) {
+            return OrderReply::NoRoom;
         }
         let phase = task.job.spread() % PERIOD as u64;
         let work = Work {
@@ -76,13 +76,13 @@
             over: false,
         };
         self.runs.insert(task, work);
-        Told::Done
+        OrderReply::Done
     }
 
     /// Stops a run.
     pub fn stop(&mut self, task: TaskId, run: u32) {
         if self.runs.get(&task).is_some_and(|w| w.run == run) {
-            self.over(task, How::Stopped);
+            self.over(task, EndReason::Stopped);
         }
     }
 
@@ -105,28 +105,28 @@
             }
             let speed = if work.spec.filler { share * work.pace } else { 1.0 };
             work.worked += passed * speed;
-            if !work.spec.lasting && work.worked >= work.spec.estimate as f64 {
+            if !work.spec.long_running && work.worked >= work.spec.estimate_ms as f64 {
                 done.push(task);
             }
         }
-        done.into_iter().for_each(|task| self.over(task, How::Done));
+        done.into_iter().for_each(|task| self.over(task, EndReason::Done));
     }
 
     /// The answer to a hold; ends up to `seen` are forgotten.
-    pub fn hold(&mut self, seen: u64, now: u64, presses: &Presses) -> Held {
-        self.ended.retain(|end| end.number > seen);
+    pub fn hold(&mut self, seen: u64, now: u64, presses: &Presses) -> WorkerRuns {
+        self.ended.retain(|end| end.seq > seen);
         self.news = false;
         let share = self.filling_share(now);
         let uses = self.uses(share);
         let running = self.runs.iter().map(|(&task, work)| Running {
             task,
             run: work.run,
-            saved: String::new(),
-            percent: match work.spec.lasting {
+            checkpoint: String::new(),
+            percent: match work.spec.long_running {
                 true => 100.0,
-                false => (work.worked / work.spec.estimate.max(1) as f64 * 100.0).min(99.0),
+                false => (work.worked / work.spec.estimate_ms.max(1) as f64 * 100.0).min(99.0),
             },
-            figure: Some(match work.spec.target {
+            metric: Some(match work.spec.target_ms {
                 Some(target) => {
                     f64::from(target) * REST / (1.0 - pressure(work, &uses, presses, now).min(FULL))
                 }
@@ -134,7 +134,12 @@
                 None => f64::from(work.spec.room.cpu),
             }),
         });
-        Held { start: 0, clock: now, running: running.collect(), ended: self.ended.clone() }
+        WorkerRuns {
+            started_at: 0,
+            clock_ms: now,
+            running: running.collect(),
+            ended: self.ended.clone(),
+        }
     }
 
     /// How many tasks of a job serve, and how many of them are over their target.
@@ -168,14 +173,14 @@
         uses
     }
 
-    fn over(&mut self, task: TaskId, how: How) {
+    fn over(&mut self, task: TaskId, how: EndReason) {
         let Some(work) = self.runs.remove(&task) else {
             return;
         };
         self.ends += 1;
         self.news = true;
         let (number, run, saved) = (self.ends, work.run, String::new());
-        self.ended.push(Ended { number, task, run, how, saved });
+        self.ended.push(EndedRun { seq: number, task, run, reason: how, checkpoint: saved });
     }
 }
 
--- a/crates/load/src/overload/sim.rs
+++ b/crates/load/src/overload/sim.rs
@@ -5,7 +5,7 @@
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 
-use myrtle_job::{Incarnation, JobId, State, Submission, Successor, Told};
+use myrtle_job::{Incarnation, JobId, OrderReply, Replacement, State, Submission};
 use myrtle_owner::{Batch, Cell, Order, Outcome as Answer, TimeLimits};
 
 use super::crash::Crashes;
@@ -177,7 +177,7 @@
             let away = listing.is_some_and(|l| self.crashes.away(l.address));
             return self.tell(
                 order,
-                if away { Answer::Unsent } else { Answer::Replaced(Successor::Other) },
+                if away { Answer::Unsent } else { Answer::Replaced(Replacement::Other) },
             );
         };
         let told = match order {
@@ -189,14 +189,14 @@
             }
             Order::Stop { task, run, .. } => {
                 machine.stop(*task, *run);
-                Told::Done
+                OrderReply::Done
             }
             Order::Throttle { task, run, percent, .. } => {
                 machine.pace(*task, *run, *percent);
-                Told::Done
+                OrderReply::Done
             }
         };
-        if let (Order::Start { worker, task, .. }, Told::Done) = (order, told) {
+        if let (Order::Start { worker, task, .. }, OrderReply::Done) = (order, told) {
             self.begun(worker, *task);
         }
         self.tell(order, Answer::Replied(told));
--- a/crates/load/src/slopes.rs
+++ b/crates/load/src/slopes.rs
@@ -7,8 +7,8 @@
 use argh::FromArgs;
 
 use myrtle_base::{Millis, Room, Stamp};
-use myrtle_cell::{Batch, Cell, End, Keep, Op, Record, Spec, TaskId, Unit};
-use myrtle_config::{Change, Config, ConfigRecord, Desired, Job, WhenCut};
+use myrtle_cell::{Batch, Cell, Coordinator, End, Op, Record, Resource, Spec, TaskId};
+use myrtle_config::{Change, Config, ConfigRecord, Desired, Job, OnUnreachable};
 use myrtle_peer::{GateSeen, Peering, Pulse, UpstreamView, WorkerLoad};
 use myrtle_place::{Fleet, Learned, Machine, Placer, TaskRequest};
 use myrtle_platform::{Report, RunState, Start, SyncReply, SyncRequest, TaskUse, UsageReport};
@@ -62,7 +62,12 @@
     stream.fold(vec![Op::Genesis { hosts }]);
     for n in 0..WORKERS {
         let (name, rack) = (format!("zone-07-w{n:04}"), format!("zone-07-r{:02}", n / 8));
-        stream.fold(vec![Op::Worker { name, rack, room: Room::new(32.0, 125_000, 0), boot: 1 }]);
+        stream.fold(vec![Op::Worker {
+            name,
+            rack,
+            room: Room::new(32.0, 125_000, 0),
+            incarnation: 1,
+        }]);
     }
     for n in 0..TASKS / 35 {
         let spec = spec(35);
@@ -78,14 +83,14 @@
 
 fn spec(tasks: u32) -> Spec {
     Spec {
-        party: "party-123".into(),
+        customer: "party-123".into(),
         class: "catalogue".into(),
         price: 1,
         kind: "rebuild".into(),
         tasks,
         room: Room::new(0.5, 2_000, 0),
         run_time: Some(Millis(180_000)),
-        when_cut: WhenCut::Yield,
+        on_unreachable: OnUnreachable::Yield,
         failures: 5,
     }
 }
@@ -155,12 +160,16 @@
 fn messages() {
     let at: SocketAddr = "10.20.30.40:5000".parse().expect("it is an address");
     let gate = |n: usize| format!("zone-07-g{n:02}");
-    let keep =
-        |n: usize| Keep { gate: gate(n % 18), since: Millis(1 << 40), term: 9, handed: true };
+    let keep = |n: usize| Coordinator {
+        gate: gate(n % 18),
+        since: Millis(1 << 40),
+        term: 9,
+        reassigned: true,
+    };
     let mut units = BTreeMap::new();
-    units.extend((0..100).map(|n| (Unit::Upstream(format!("zone-07-w{n:04}")), keep(n))));
-    units.extend((0..450).map(|n| (Unit::Party(format!("party-{n:03}")), keep(n))));
-    units.extend((0..32).map(|n| (Unit::Keys(n), keep(n as usize))));
+    units.extend((0..100).map(|n| (Resource::Upstream(format!("zone-07-w{n:04}")), keep(n))));
+    units.extend((0..450).map(|n| (Resource::Customer(format!("party-{n:03}")), keep(n))));
+    units.extend((0..32).map(|n| (Resource::Keys(n), keep(n as usize))));
     let upstream = |n: usize| UpstreamView {
         name: format!("zone-07-w{n:04}"),
         service: "nomgate".into(),
@@ -181,10 +190,10 @@
         ..Pulse::default()
     };
     println!("a pulse: {} B", bincode_size(&pulse));
-    let asks: Vec<(Unit, Ask)> = (0..6)
-        .map(|n| (Unit::Upstream(format!("zone-07-w{n:04}")), Ask { have: 1, want: 2 }))
+    let asks: Vec<(Resource, Ask)> = (0..6)
+        .map(|n| (Resource::Upstream(format!("zone-07-w{n:04}")), Ask { have: 1, want: 2 }))
         .collect();
-    let offers: Vec<(Unit, Offer)> =
+    let offers: Vec<(Resource, Offer)> =
         asks.iter().map(|(u, _)| (u.clone(), Offer { lent: 1, fair: 1 })).collect();
     println!("asks and offers of 6 units: {} B", bincode_size(&asks) + bincode_size(&offers));
     syncs();
@@ -213,7 +222,7 @@
 
 fn config() {
     let job = || Job {
-        party: "party-123".into(),
+        customer: "party-123".into(),
         class: "catalogue".into(),
         kind: "rebuild".into(),
         data_centre: "zone-07".into(),
@@ -223,7 +232,7 @@
         accelerators: 0,
         run_time: Some(myrtle_config::Span(Millis(180_000))),
         watcher: false,
-        when_cut: WhenCut::Yield,
+        on_unreachable: OnUnreachable::Yield,
         failures: 5,
     };
     let mut desired = Desired { scope: "party-123".into(), ..Desired::default() };
--- a/crates/owner/benches/plan.rs
+++ b/crates/owner/benches/plan.rs
@@ -6,7 +6,8 @@
 
 use myrtle_base::Room;
 use myrtle_job::{
-    Held, Incarnation, JobId, JobSpec, Listing, Policy, Running, StepSpec, Submission, Told,
+    Incarnation, JobId, JobSpec, Listing, OrderReply, Policy, Running, StepSpec, Submission,
+    WorkerRuns,
 };
 use myrtle_owner::{Cell, Order, Outcome, TimeLimits};
 
@@ -35,16 +36,16 @@
             address: ([10, 0, 0, 1], 1000 + n).into(),
             data_centre: "d".into(),
             draining: false,
-            remaining: None,
+            remaining_ms: None,
             room: Room { cpu: 32_000, mem: 128_000, accel: 0 },
             labels: vec!["a".into(), format!("r{}", n / 8)],
             machine: None,
-            written: 1,
-            cold: 0,
-            start: 0,
+            offset: 1,
+            warmup_ms: 0,
+            started_at: 0,
         };
         cell.apply_listing(incarnation(n).id(), listing, 1_000);
-        let held = Held { start: 0, clock: 1_000, running: vec![], ended: vec![] };
+        let held = WorkerRuns { started_at: 0, clock_ms: 1_000, running: vec![], ended: vec![] };
         cell.renewed(&incarnation(n), held, 1_000, 1_000, 1_000);
     }
     cell
@@ -55,12 +56,12 @@
     let policy = Policy {
         queue: "q".into(),
         service: "s".into(),
-        attempts: 3,
+        max_failures: 3,
         stretch: 2.0,
-        slack: 1_000,
+        slack_ms: 1_000,
         ..Policy::default()
     };
-    cell.admit(JobId(id), Submission { policy, spec, taken: now }, now, now);
+    cell.admit(JobId(id), Submission { policy, spec, accepted_at: now }, now, now);
 }
 
 fn admit_long_running(cell: &mut Cell, now: u64) {
@@ -68,10 +69,10 @@
         let step = StepSpec {
             count: 14,
             room: Room { cpu: 4_500 + 100 * (id % 11) as u32, mem: 2_000, accel: 0 },
-            estimate: 400,
-            lasting: true,
+            estimate_ms: 400,
+            long_running: true,
             image: Some(format!("serving-{}", id % IMAGES).into()),
-            target: Some(50),
+            target_ms: Some(50),
             ..StepSpec::default()
         };
         admit(cell, 1 + id, step, now);
@@ -83,9 +84,9 @@
         let step = StepSpec {
             count: 20,
             room: Room { cpu: 3_000 + 50 * (id % 20) as u32, mem: 3_000, accel: 0 },
-            estimate: 2_000 + 10 * id,
+            estimate_ms: 2_000 + 10 * id,
             filler: true,
-            saves: true,
+            has_checkpoints: true,
             image: Some(format!("filling-{}", id % IMAGES).into()),
             ..StepSpec::default()
         };
@@ -100,7 +101,7 @@
     let starts = cell.committed(batch, now);
     for order in &starts {
         if let Order::Start { worker, task, run, .. } = order {
-            cell.start_replied(worker, *task, *run, Outcome::Replied(Told::Done), now);
+            cell.start_replied(worker, *task, *run, Outcome::Replied(OrderReply::Done), now);
         }
     }
     starts.len()
@@ -113,16 +114,16 @@
         let rows = worker.active_runs.iter().map(|(&task, active)| Running {
             task,
             run: active.run,
-            saved: String::new(),
+            checkpoint: String::new(),
             percent: 100.0,
-            figure: Some(if active.target.is_some() { 35.0 + (now % 7) as f64 } else { 1_500.0 }),
+            metric: Some(if active.target.is_some() { 35.0 + (now % 7) as f64 } else { 1_500.0 }),
         });
         running.insert(incarnation.clone(), rows.collect());
     }
     for (incarnation, running) in running {
         cell.renewed(
             &incarnation,
-            Held { start: 0, clock: now, running, ended: vec![] },
+            WorkerRuns { started_at: 0, clock_ms: now, running, ended: vec![] },
             now,
             now,
             now,
--- a/crates/owner/src/cell.rs
+++ b/crates/owner/src/cell.rs
@@ -162,7 +162,7 @@
     /// The number of jobs of each queue that have not begun.
     pub fn pending(&self) -> BTreeMap<&str, u64> {
         let mut counts = BTreeMap::new();
-        let here = self.jobs.values().filter(|j| j.progress.moved.is_none());
+        let here = self.jobs.values().filter(|j| j.progress.job_transfer.is_none());
         for job in here.filter(|j| j.logged_state == State::Queued) {
             *counts.entry(&*job.submission.policy.queue).or_default() += 1;
         }
--- a/crates/owner/src/jobs/admit.rs
+++ b/crates/owner/src/jobs/admit.rs
@@ -19,7 +19,7 @@
         if let Err(e) = submission.spec.check() {
             return warn!("event=job-unusable job={id} reason=\"{e}\"");
         }
-        let age = wall.saturating_sub(submission.taken).min(MAX_AGE);
+        let age = wall.saturating_sub(submission.accepted_at).min(MAX_AGE);
         let arrived_at = now.saturating_sub(age);
         let level = if self.loaded { Level::Info } else { Level::Debug };
         log!(
@@ -29,7 +29,7 @@
             submission.spec.steps.len()
         );
         let spec = &submission.spec;
-        if self.loaded && !spec.lasts() {
+        if self.loaded && !spec.has_long_running() {
             let short = spec.steps.iter().filter(|s| !s.filler);
             let work = short.map(|s| f64::from(s.count) * s.work()).sum();
             self.short_share.record(submission.policy.priority, work, now);
@@ -38,7 +38,7 @@
         let mut progress = Progress::default();
         if submission.spec.repeat.is_none() {
             progress.rounds.insert(0, Round::fresh(&submission.spec));
-            progress.next = 1;
+            progress.next_round = 1;
         } else {
             self.repeating.insert(id);
         }
@@ -57,9 +57,9 @@
         let keep = self.limits.status_ttl + self.limits.status_ttl / 2;
         self.expire_cancels(keep, now);
         let is_expired = |j: &Job| {
-            let ended = j.progress.ended;
-            let notified = j.progress.handed.iter().all(|h| h.recalled);
-            j.progress.state.over() && wall > ended + keep && !j.progress.live() && notified
+            let ended = j.progress.ended_at;
+            let notified = j.progress.outgoing.iter().all(|h| h.recalled);
+            j.progress.state.over() && wall > ended + keep && !j.progress.has_active() && notified
         };
         let expired: Vec<_> =
             self.jobs.iter().filter(|(_, j)| is_expired(j)).map(|(&id, _)| id).collect();
@@ -71,8 +71,11 @@
         let Some(Job { progress, .. }) = self.jobs.remove(&id) else {
             return;
         };
-        let incoming = progress.taken.iter().flat_map(|t| [Key::Part(t.part), Key::Recall(t.part)]);
-        let own = (!progress.guest).then_some(Key::Job(id));
+        let incoming = progress
+            .incoming
+            .iter()
+            .flat_map(|t| [Key::Transfer(t.transfer), Key::Recall(t.transfer)]);
+        let own = (!progress.incoming_only).then_some(Key::Job(id));
         self.removals.extend(incoming.chain(own));
         self.dirty.insert(id);
     }
@@ -98,24 +101,24 @@
             return self.withhold(id, "its progress names tasks that the job doesn't have");
         }
         // The job may have been cancelled before its progress was read.
-        let ended = job.progress.ended;
+        let ended = job.progress.ended_at;
         let cancelled = job.progress.state == State::Cancelled;
         job.logged_state = progress.state;
         job.progress = progress;
         let over = job.progress.state.over();
-        if over || job.progress.next >= job.submission.spec.rounds() {
+        if over || job.progress.next_round >= job.submission.spec.rounds() {
             self.repeating.remove(&id);
         }
-        if over || job.progress.elsewhere() {
+        if over || job.progress.all_transferred() {
             self.open.remove(&id);
         }
-        if !job.progress.handed.is_empty() {
+        if !job.progress.outgoing.is_empty() {
             // The log doesn't hold which offer they were transferred by.
             job.transfer_until = now + Offer::Soon.delay();
         }
         let job = &self.jobs[&id];
         self.to_deliver.extend(self.undelivered(id, job));
-        let given_up = job.progress.crashes.iter().filter(|(_, c)| c.too_many());
+        let given_up = job.progress.crashes.iter().filter(|(_, c)| c.exceeded());
         self.given_up_tasks.extend(given_up.map(|(&task, _)| task));
         for (task, run) in job.runs(id) {
             let spec = self.jobs[&id].step(task.step);
--- a/crates/owner/src/jobs/balance.rs
+++ b/crates/owner/src/jobs/balance.rs
@@ -12,7 +12,7 @@
 use log::info;
 
 use myrtle_base::Room;
-use myrtle_job::{Free, JobId, Load, Moved, TaskId};
+use myrtle_job::{FreeRoom, JobId, JobTransfer, Load, TaskId};
 
 use crate::jobs::transfer::waiting;
 use crate::{Cell, Job, Presence, Worker};
@@ -39,7 +39,7 @@
 impl CellLoad {
     /// Whether the report is recent enough to act on.
     pub(crate) fn is_recent(&self, now: u64) -> bool {
-        now < self.at + REPORT_TTL && self.load.size > 0.0
+        now < self.at + REPORT_TTL && self.load.capacity > 0.0
     }
 
     /// Whether the report came at `at` or later.
@@ -51,24 +51,25 @@
 impl Cell {
     /// The load of long-running tasks on the cell, and its free room.
     pub fn load(&self, now: u64) -> Load {
-        let (free, again) = (self.free(|_, _| true, now), self.free(Job::resumes, now));
-        let soon = self.free_on(|worker| worker.free_soon(now), Job::resumes, now);
-        Load { free, again, soon, ..self.offered_load(now) }
+        let (free, restart_free) = (self.free(|_, _| true, now), self.free(Job::resumes, now));
+        let soon_free = self.free_on(|worker| worker.free_soon(now), Job::resumes, now);
+        Load { free, restart_free, soon_free, ..self.offered_load(now) }
     }
 
     /// The load of long-running tasks relative to the room that the cell gives them: what it leaves
     /// to short tasks is not offered to other cells.
     fn offered_load(&self, now: u64) -> Load {
         let total = self.total_load();
-        let left = self.short_share.whole_workers(u32::MAX, total.size, self.workers.len(), now);
-        Load { size: total.size - left, ..total }
+        let left =
+            self.short_share.whole_workers(u32::MAX, total.capacity, self.workers.len(), now);
+        Load { capacity: total.capacity - left, ..total }
     }
 
     /// The load relative to the whole cell, without the free room of single workers.
     pub(crate) fn total_load(&self) -> Load {
-        let here = self.jobs.iter().filter(|(_, j)| !j.progress.elsewhere());
+        let here = self.jobs.iter().filter(|(_, j)| !j.progress.all_transferred());
         let long_running =
-            here.filter(|(_, j)| !j.progress.state.over() && j.submission.spec.lasts());
+            here.filter(|(_, j)| !j.progress.state.over() && j.submission.spec.has_long_running());
         let stays = |w: &&Worker| {
             w.listed
                 && !w.draining()
@@ -76,12 +77,12 @@
         };
         let size = self.workers.values().filter(stays).map(Worker::offered).sum();
         let claimed = long_running.map(|(id, job)| demand(id, job)).sum();
-        Load { claimed, size, ..Load::default() }
+        Load { claimed, capacity: size, ..Load::default() }
     }
 
     /// The largest free rooms on workers, less the claims of the tasks waiting here that come
     /// `first`: otherwise each report would offer that room again.
-    fn free(&self, first: impl Fn(&Job, TaskId) -> bool, now: u64) -> Vec<Free> {
+    fn free(&self, first: impl Fn(&Job, TaskId) -> bool, now: u64) -> Vec<FreeRoom> {
         self.free_on(Worker::free, first, now)
     }
 
@@ -91,10 +92,10 @@
         room: impl Fn(&Worker) -> Room,
         first: impl Fn(&Job, TaskId) -> bool,
         now: u64,
-    ) -> Vec<Free> {
+    ) -> Vec<FreeRoom> {
         let open = self.workers.values().filter(|w| w.accepts_work(now));
         let free = open.filter_map(|w| {
-            Some(Free { service: w.listing.as_ref()?.service.clone(), room: room(w) })
+            Some(FreeRoom { service: w.listing.as_ref()?.service.clone(), room: room(w) })
         });
         let mut free: Vec<_> = free.filter(|free| free.room.cpu > 0).collect();
         free.sort_unstable_by_key(|free| free.room.cpu);
@@ -102,9 +103,10 @@
             let service = &job.submission.policy.service;
             let tasks = waiting(id, job, now).filter(|task| first(job, *task));
             for claim in tasks.map(|task| job.step(task.step).claim()) {
-                let fits = |free: &&mut Free| free.service == *service && claim.fits(&free.room);
+                let fits =
+                    |free: &&mut FreeRoom| free.service == *service && claim.fits(&free.room);
                 if let Some(free) = free.iter_mut().find(fits) {
-                    free.room = free.room.less(&claim);
+                    free.room = free.room.minus(&claim);
                 }
             }
         }
@@ -136,7 +138,7 @@
             return now < self.began_at + REPORT_WAIT;
         };
         let load = self.offered_load(now);
-        if load.size <= 0.0 || load.share(0.0) < share + MIN_DIFFERENCE {
+        if load.capacity <= 0.0 || load.share(0.0) < share + MIN_DIFFERENCE {
             return false;
         }
         self.transfer(id, to, demand);
@@ -158,7 +160,7 @@
             report.load.claimed += demand;
         }
         if let Some(job) = self.jobs.get_mut(&id) {
-            job.progress.moved = Some(Moved { to, delivered: false });
+            job.progress.job_transfer = Some(JobTransfer { to, delivered: false });
         }
         self.open.remove(&id);
         self.dirty.insert(id);
@@ -166,13 +168,13 @@
 
     /// The cell to which a job was transferred.
     pub fn transferred_to(&self, id: JobId) -> Option<u32> {
-        self.jobs.get(&id)?.progress.moved.map(|moved| moved.to)
+        self.jobs.get(&id)?.progress.job_transfer.map(|moved| moved.to)
     }
 
     /// Transferred jobs that may be over and removed in the cells that have them, with these cells.
     pub fn maybe_removed(&self, wall: u64) -> Vec<(JobId, u32)> {
-        let old = |j: &Job| wall > j.submission.taken + 2 * self.limits.status_ttl;
-        let moved = self.jobs.iter().filter_map(|(&id, j)| Some((id, j, j.progress.moved?)));
+        let old = |j: &Job| wall > j.submission.accepted_at + 2 * self.limits.status_ttl;
+        let moved = self.jobs.iter().filter_map(|(&id, j)| Some((id, j, j.progress.job_transfer?)));
         let old = moved.filter(|(_, j, moved)| moved.delivered && old(j));
         old.map(|(id, _, moved)| (id, moved.to)).collect()
     }
@@ -194,8 +196,8 @@
 }
 
 /// The free rooms with the most processors, and those with the most accelerators, of each service.
-fn largest(mut free: Vec<Free>) -> Vec<Free> {
-    let mut chosen: Vec<Free> = Vec::new();
+fn largest(mut free: Vec<FreeRoom>) -> Vec<FreeRoom> {
+    let mut chosen: Vec<FreeRoom> = Vec::new();
     free.sort_unstable_by_key(|free| Reverse((free.room.accel, free.room.cpu)));
     let (has_accel, mut plain): (Vec<_>, Vec<_>) = free.into_iter().partition(|f| f.room.accel > 0);
     plain.sort_unstable_by_key(|free| Reverse(free.room.cpu));
@@ -203,7 +205,7 @@
         let has_accel = free.room.accel > 0;
         let similar =
             chosen.iter().filter(|t| t.service == free.service && (t.room.accel > 0) == has_accel);
-        if similar.count() < Load::WORKERS {
+        if similar.count() < Load::MAX_WORKERS {
             chosen.push(free);
         }
     }
@@ -213,20 +215,21 @@
 /// The processors that the long-running tasks of a job in this cell ask for, in thousandths of a
 /// core.
 fn demand(&id: &JobId, job: &Job) -> f64 {
-    let long_running = job.submission.spec.steps.iter().zip(0u16..).filter(|(s, _)| s.lasting);
+    let long_running = job.submission.spec.steps.iter().zip(0u16..).filter(|(s, _)| s.long_running);
     let claims = long_running.map(|(spec, step)| {
         let tasks = (0..spec.count).map(|index| TaskId { job: id, round: 0, step, index });
-        tasks.filter(|&t| !job.progress.away(t)).count() as f64 * f64::from(spec.claim().cpu)
+        tasks.filter(|&t| !job.progress.is_transferred(t)).count() as f64
+            * f64::from(spec.claim().cpu)
     });
     claims.sum()
 }
 
 /// Whether no task of a long-running job was ever started.
 fn never_started(job: &Job) -> bool {
-    job.submission.spec.lasts()
-        && job.progress.moved.is_none()
-        && job.progress.handed.is_empty()
-        && job.progress.taken.is_empty()
+    job.submission.spec.has_long_running()
+        && job.progress.job_transfer.is_none()
+        && job.progress.outgoing.is_empty()
+        && job.progress.incoming.is_empty()
         && !job.progress.state.over()
-        && job.progress.tasks().all(|(.., task)| task.last == 0)
+        && job.progress.tasks().all(|(.., task)| task.last_run == 0)
 }
--- a/crates/owner/src/jobs/budget.rs
+++ b/crates/owner/src/jobs/budget.rs
@@ -4,25 +4,25 @@
 //! budget of two had four tasks unavailable. So a cell transfers a share of its budget with the
 //! tasks; the sum over all cells never grows, whichever owner fails and whatever record is late.
 
-use myrtle_job::{Allowance, TaskId};
+use myrtle_job::{StepBudget, TaskId};
 
 use crate::Job;
 
 impl Job {
     /// The disruption budget of a step in this cell, in tasks; nothing if the step sets none.
     pub(crate) fn disruption_budget(&self, step: u16) -> Option<u16> {
-        let limit = self.submission.spec.steps.get(usize::from(step))?.may_miss?;
-        Some(self.progress.allowance(step, limit))
+        let limit = self.submission.spec.steps.get(usize::from(step))?.disruption_budget?;
+        Some(self.progress.budget(step, limit))
     }
 
     /// The share of the budget that goes to another cell with transferred tasks.
-    pub(crate) fn split_budget(&self, tasks: &[TaskId], to: u32) -> Vec<Allowance> {
+    pub(crate) fn split_budget(&self, tasks: &[TaskId], to: u32) -> Vec<StepBudget> {
         let mut steps: Vec<u16> = tasks.iter().map(|t| t.step).collect();
         steps.sort_unstable();
         steps.dedup();
         let shares = steps.into_iter().filter_map(|step| {
             let limit = self.budget_share(step, tasks, to)?;
-            (limit > 0).then_some(Allowance { step, most: limit })
+            (limit > 0).then_some(StepBudget { step, limit })
         });
         shares.collect()
     }
@@ -39,9 +39,9 @@
         let share = (u32::from(budget) * moved / (moved + staying)) as u16;
         let has = self
             .progress
-            .handed
+            .outgoing
             .iter()
-            .any(|h| h.to == to && h.allowances.iter().any(|a| a.step == step && a.most > 0));
+            .any(|h| h.to == to && h.budgets.iter().any(|a| a.step == step && a.limit > 0));
         Some(if has || budget < 2 { share } else { share.max(1) })
     }
 
@@ -51,6 +51,6 @@
             return 0;
         };
         let all = (0..self.step(step).count).map(|index| TaskId { job, round, step, index });
-        all.filter(|t| !moved.contains(t) && !self.progress.away(*t)).count() as u32
+        all.filter(|t| !moved.contains(t) && !self.progress.is_transferred(*t)).count() as u32
     }
 }
--- a/crates/owner/src/jobs/delivery.rs
+++ b/crates/owner/src/jobs/delivery.rs
@@ -1,6 +1,6 @@
 //! Records that an owner puts into other cells' logs, each after its own log holds the transfer.
 
-use myrtle_job::{Handed, JobId, Key, Part, PartId, PartTask, encode};
+use myrtle_job::{JobId, Key, OutgoingTransfer, Transfer, TransferId, TransferredTask, encode};
 
 use crate::{Cell, Job};
 
@@ -32,9 +32,9 @@
         };
         let progress = &mut job.progress;
         let flag = match key {
-            Key::Job(_) => progress.moved.as_mut().map(|m| &mut m.delivered),
-            Key::Part(transfer) => progress.handed_mut(transfer).map(|h| &mut h.delivered),
-            Key::Recall(transfer) => progress.handed_mut(transfer).map(|h| &mut h.recalled),
+            Key::Job(_) => progress.job_transfer.as_mut().map(|m| &mut m.delivered),
+            Key::Transfer(transfer) => progress.outgoing_mut(transfer).map(|h| &mut h.delivered),
+            Key::Recall(transfer) => progress.outgoing_mut(transfer).map(|h| &mut h.recalled),
         };
         if let Some(flag) = flag.filter(|flag| !**flag) {
             *flag = true;
@@ -45,13 +45,13 @@
     /// The keys of a job's records that other cells may not have yet.
     pub(crate) fn undelivered(&self, id: JobId, job: &Job) -> Vec<Key> {
         let Job { progress, .. } = job;
-        let moved = progress.moved.filter(|m| !m.delivered).map(|_| Key::Job(id));
+        let moved = progress.job_transfer.filter(|m| !m.delivered).map(|_| Key::Job(id));
         let over = progress.state.over();
-        let outgoing = progress.handed.iter().zip(0..).filter_map(|(outgoing, number)| {
-            let transfer = PartId { job: id, from: self.number, number };
+        let outgoing = progress.outgoing.iter().zip(0..).filter_map(|(outgoing, number)| {
+            let transfer = TransferId { job: id, from: self.number, number };
             match over {
                 true => (!outgoing.recalled).then_some(Key::Recall(transfer)),
-                false => (!outgoing.delivered).then_some(Key::Part(transfer)),
+                false => (!outgoing.delivered).then_some(Key::Transfer(transfer)),
             }
         });
         moved.into_iter().chain(outgoing).collect()
@@ -60,28 +60,32 @@
     fn delivery(&self, key: Key) -> Option<Delivery> {
         let job = self.jobs.get(&key.job())?;
         let (to, record) = match key {
-            Key::Job(_) => (job.progress.moved?.to, encode(&job.submission)),
-            Key::Part(transfer) => {
-                let outgoing = job.progress.handed(transfer)?;
+            Key::Job(_) => (job.progress.job_transfer?.to, encode(&job.submission)),
+            Key::Transfer(transfer) => {
+                let outgoing = job.progress.outgoing(transfer)?;
                 (outgoing.to, encode(&transfer_record(job, outgoing)))
             }
-            Key::Recall(transfer) => (job.progress.handed(transfer)?.to, encode(&())),
+            Key::Recall(transfer) => (job.progress.outgoing(transfer)?.to, encode(&())),
         };
         Some(Delivery { key, to, record })
     }
 }
 
 /// The transfer record for some tasks of a job.
-fn transfer_record(job: &Job, outgoing: &Handed) -> Part {
+fn transfer_record(job: &Job, outgoing: &OutgoingTransfer) -> Transfer {
     let tasks = outgoing.tasks.iter().filter_map(|&task| {
         let record = job.progress.task(task)?;
-        Some(PartTask { task, last: record.last, saved: record.saved.clone() })
+        Some(TransferredTask {
+            task,
+            last_run: record.last_run,
+            checkpoint: record.checkpoint.clone(),
+        })
     });
     let counted = outgoing.tasks.iter().filter_map(|task| job.progress.crashes.get_key_value(task));
-    Part {
+    Transfer {
         submission: job.submission.clone(),
         tasks: tasks.collect(),
-        allowances: outgoing.allowances.clone(),
+        budgets: outgoing.budgets.clone(),
         crashes: counted.map(|(&task, &crashes)| (task, crashes)).collect(),
     }
 }
--- a/crates/owner/src/jobs/early_cancel.rs
+++ b/crates/owner/src/jobs/early_cancel.rs
@@ -37,13 +37,17 @@
     /// Restores an early cancellation that an earlier owner wrote.
     pub(crate) fn restore_cancel(&mut self, id: JobId, progress: &Progress, now: u64) {
         self.early_cancels
-            .insert(id, EarlyCancel { since: now, wall: progress.ended, logged: true });
+            .insert(id, EarlyCancel { since: now, wall: progress.ended_at, logged: true });
     }
 
     /// The record of an early cancellation; empty if there is none.
     pub(crate) fn cancel_record(&self, id: JobId) -> Vec<u8> {
         self.early_cancels.get(&id).map_or_else(Vec::new, |cancel| {
-            encode(&Progress { state: State::Cancelled, ended: cancel.wall, ..Progress::default() })
+            encode(&Progress {
+                state: State::Cancelled,
+                ended_at: cancel.wall,
+                ..Progress::default()
+            })
         })
     }
 
--- a/crates/owner/src/jobs/ends.rs
+++ b/crates/owner/src/jobs/ends.rs
@@ -2,7 +2,7 @@
 
 use log::{Level, info, log, warn};
 
-use myrtle_job::{Ended, How, Incarnation, JobId, RunEnd, State, TaskId};
+use myrtle_job::{EndReason, EndedRun, Incarnation, JobId, RunEnd, State, TaskId};
 
 use crate::Cell;
 
@@ -15,36 +15,36 @@
     pub(crate) fn process_end(
         &mut self,
         incarnation: &Incarnation,
-        ended: Ended,
+        ended: EndedRun,
         now: u64,
         wall: u64,
     ) {
         let Some(worker) = self.workers.get_mut(incarnation) else {
             return;
         };
-        if ended.number <= worker.received_ends {
+        if ended.seq <= worker.received_ends {
             // A worker repeats an end until it is acknowledged, but the run of a processed end is
             // off the worker.
             if worker.active_runs.get(&ended.task).is_some_and(|f| f.run == ended.run) {
                 warn!(
                     "event=end-passed-over task={} run={} worker={incarnation} how={} number={} taken={}",
-                    ended.task, ended.run, ended.how, ended.number, worker.received_ends
+                    ended.task, ended.run, ended.reason, ended.seq, worker.received_ends
                 );
             }
             return;
         }
-        worker.received_ends = ended.number;
-        let Ended { task, run, how, .. } = ended;
+        worker.received_ends = ended.seq;
+        let EndedRun { task, run, reason, .. } = ended;
         let active = worker.remove_run(task, run, now);
         let took = active.map_or(0, |f| now.saturating_sub(f.since));
         // Successful ends are logged by step, so that the volume stays bounded.
-        let level = if how == How::Done { Level::Debug } else { Level::Info };
+        let level = if reason == EndReason::Done { Level::Debug } else { Level::Info };
         log!(
             level,
-            "event=run-ended task={task} run={run} worker={incarnation} how={how} took_ms={took}"
+            "event=run-ended task={task} run={run} worker={incarnation} how={reason} took_ms={took}"
         );
-        self.count_end(incarnation, how, task, now);
-        self.unlogged.push(RunEnd { life: incarnation.clone(), ended: ended.clone() });
+        self.count_end(incarnation, reason, task, now);
+        self.unlogged.push(RunEnd { incarnation: incarnation.clone(), ended: ended.clone() });
         self.apply_end(incarnation, ended, now, wall);
     }
 
@@ -52,26 +52,26 @@
     pub(crate) fn apply_end(
         &mut self,
         incarnation: &Incarnation,
-        ended: Ended,
+        ended: EndedRun,
         now: u64,
         wall: u64,
     ) {
-        let Ended { task, run, how, .. } = ended;
+        let EndedRun { task, run, reason, .. } = ended;
         let Some(job) = self.jobs.get(&task.job) else {
             return;
         };
         let step = job.submission.spec.steps.get(usize::from(task.step));
-        let long_running = step.is_some_and(|s| s.lasting);
+        let long_running = step.is_some_and(|s| s.long_running);
         let gang = step.is_some_and(|s| s.gang);
         // A repeated end says nothing about runs that began since.
-        let known = job.progress.task(task).is_some_and(|t| t.run(run).is_some());
+        let known = job.progress.task(task).is_some_and(|t| t.active_run(run).is_some());
         if !self.record_end(incarnation, ended, long_running, now) {
             return;
         }
         self.open.insert(task.job);
-        match how {
-            How::Done if !long_running => self.done(task, gang, now, wall),
-            How::Failed if !long_running => {
+        match reason {
+            EndReason::Done if !long_running => self.done(task, gang, now, wall),
+            EndReason::Failed if !long_running => {
                 let restart = self.failed(task, run, gang, now, wall);
                 if restart && known {
                     self.restart_gang(task, now);
@@ -86,11 +86,11 @@
     fn record_end(
         &mut self,
         incarnation: &Incarnation,
-        ended: Ended,
+        ended: EndedRun,
         long_running: bool,
         now: u64,
     ) -> bool {
-        let Ended { task, run, how, saved, .. } = ended;
+        let EndedRun { task, run, reason, checkpoint, .. } = ended;
         let Some(job) = self.jobs.get_mut(&task.job) else {
             return false;
         };
@@ -98,9 +98,9 @@
         let Some(record) = job.progress.task_mut(task) else {
             return false;
         };
-        record.drop_run(run);
-        if !saved.is_empty() {
-            record.saved = saved;
+        record.remove_run(run);
+        if !checkpoint.is_empty() {
+            record.checkpoint = checkpoint;
         }
         if record.done {
             return false;
@@ -108,10 +108,10 @@
         if long_running {
             job.down_since.insert(task, now);
         }
-        match how {
-            How::Done if !long_running => record.done = true,
-            How::Failed => {
-                record.fail(run);
+        match reason {
+            EndReason::Done if !long_running => record.done = true,
+            EndReason::Failed => {
+                record.add_failure(run);
                 job.retry_at.insert(task, now + RETRY_DELAY);
                 job.avoided.entry(task).or_default().push(incarnation.clone());
             }
@@ -141,7 +141,7 @@
             }
             if t.done && index == usize::from(task.index) {
                 let id = TaskId { index: index as u16, ..task };
-                copies.extend(t.live.iter().map(|r| (id, r.clone())));
+                copies.extend(t.active.iter().map(|r| (id, r.clone())));
             }
         }
         if round.done() {
@@ -157,7 +157,7 @@
     fn complete(&mut self, id: JobId, now: u64, wall: u64) {
         let job = &self.jobs[&id];
         let rounds = job.submission.spec.rounds();
-        if !job.progress.rounds.is_empty() || job.progress.next < rounds {
+        if !job.progress.rounds.is_empty() || job.progress.next_round < rounds {
             return;
         }
         let took = now.saturating_sub(job.arrived_at);
@@ -175,16 +175,16 @@
         let Some(job) = self.jobs.get_mut(&task.job) else {
             return false;
         };
-        let attempts = job.submission.policy.attempts.max(1);
+        let attempts = job.submission.policy.max_failures.max(1);
         let Some(round) = job.progress.rounds.get_mut(&task.round) else {
             return false;
         };
         let step = &mut round.steps[usize::from(task.step)];
-        if gang && !step.failed.contains(&run) {
-            step.failed.push(run);
+        if gang && !step.failed_runs.contains(&run) {
+            step.failed_runs.push(run);
         }
-        let of_task = &step.tasks[usize::from(task.index)].failed;
-        let failures = if gang { step.failed.len() } else { of_task.len() };
+        let of_task = &step.tasks[usize::from(task.index)].failed_runs;
+        let failures = if gang { step.failed_runs.len() } else { of_task.len() };
         info!("event=run-failed task={task} fails={failures} attempts={attempts}");
         if failures >= attempts as usize {
             let job = task.job;
@@ -206,7 +206,7 @@
             .tasks
             .iter()
             .enumerate()
-            .flat_map(|(i, t)| t.live.iter().map(move |r| (i as u16, r.clone())))
+            .flat_map(|(i, t)| t.active.iter().map(move |r| (i as u16, r.clone())))
             .collect();
         for (index, run) in live {
             self.stop_run(&run.worker, TaskId { index, ..task }, run.number, now);
--- a/crates/owner/src/jobs/explain.rs
+++ b/crates/owner/src/jobs/explain.rs
@@ -22,15 +22,17 @@
         )];
         for (round, step, index, task) in job.progress.tasks().filter(|(.., t)| !t.done) {
             let runs: Vec<_> =
-                task.live.iter().map(|r| format!("run {} on {}", r.number, r.worker)).collect();
+                task.active.iter().map(|r| format!("run {} on {}", r.number, r.worker)).collect();
             let name = TaskId { job: id, round, step, index };
             let what = match () {
-                _ if job.progress.away(name) => "was transferred to another cell".to_string(),
+                _ if job.progress.is_transferred(name) => {
+                    "was transferred to another cell".to_string()
+                }
                 _ if runs.is_empty() => "waits".to_string(),
                 _ => runs.join(", "),
             };
-            let lost = job.progress.crashes.get(&name).map_or(0, |c| c.seen);
-            let failed = task.failed.len();
+            let lost = job.progress.crashes.get(&name).map_or(0, |c| c.losses);
+            let failed = task.failed_runs.len();
             lines.push(format!("{name}: {what}, {failed} failed, {lost} lost with their workers"));
         }
         if !self.evacuated.is_empty() {
--- a/crates/owner/src/jobs/job.rs
+++ b/crates/owner/src/jobs/job.rs
@@ -70,7 +70,7 @@
 
     /// Whether a task of the job has to be started here; `record` is its own.
     pub fn waits(&self, task: TaskId, record: &Task) -> bool {
-        record.waits() && !self.progress.away(task) && !self.progress.given_up(task)
+        record.is_waiting() && !self.progress.is_transferred(task) && !self.progress.given_up(task)
     }
 
     /// The specification of a step.
@@ -81,8 +81,8 @@
     /// The latency objective, in milliseconds.
     pub fn objective(&self) -> u64 {
         let policy = &self.submission.policy;
-        let chain = self.submission.spec.chain(|_| false);
-        ((policy.stretch * chain as f64) as u64).saturating_add(policy.slack)
+        let chain = self.submission.spec.critical_path(|_| false);
+        ((policy.stretch * chain as f64) as u64).saturating_add(policy.slack_ms)
     }
 
     /// How long a task has found no worker, in milliseconds.
@@ -94,8 +94,8 @@
     /// never ran, which no user relies on yet.
     pub fn resumes(&self, task: TaskId) -> bool {
         let long_running =
-            self.submission.spec.steps.get(usize::from(task.step)).is_some_and(|s| s.lasting);
-        long_running && self.progress.task(task).is_some_and(|t| t.last > 0)
+            self.submission.spec.steps.get(usize::from(task.step)).is_some_and(|s| s.long_running);
+        long_running && self.progress.task(task).is_some_and(|t| t.last_run > 0)
     }
 
     /// The start of the downtime of a waiting task: 0 if it is earlier than this owner can say, the
@@ -109,7 +109,7 @@
 
     /// The start of the longest downtime among the waiting tasks; `id` is the job's own.
     pub fn earliest_down(&self, id: JobId) -> u64 {
-        if !self.submission.spec.lasts() {
+        if !self.submission.spec.has_long_running() {
             return u64::MAX;
         }
         let tasks = self.progress.tasks();
@@ -124,7 +124,7 @@
         let Some(round) = self.progress.rounds.values().next() else {
             return 0;
         };
-        self.submission.spec.chain(|step| round.steps[step].done())
+        self.submission.spec.critical_path(|step| round.steps[step].done())
     }
 
     /// The remaining work of the oldest repetition, in thousandths of a core for a millisecond.
@@ -155,7 +155,7 @@
         let tasks = self.progress.tasks();
         let runs = tasks.flat_map(|(round, step, index, t)| {
             let task = TaskId { job: id, round, step, index };
-            t.live.iter().map(move |r| (task, r.clone()))
+            t.active.iter().map(move |r| (task, r.clone()))
         });
         runs.collect()
     }
--- a/crates/owner/src/jobs/termination.rs
+++ b/crates/owner/src/jobs/termination.rs
@@ -38,7 +38,7 @@
             return;
         };
         job.progress.state = state;
-        job.progress.ended = wall.max(1);
+        job.progress.ended_at = wall.max(1);
         self.open.remove(&id);
         self.repeating.remove(&id);
         self.load_cycles.forget(id);
@@ -74,7 +74,7 @@
         let Some(job) = self.jobs.get_mut(&task.job) else {
             return;
         };
-        if job.progress.task_mut(task).is_some_and(|t| t.drop_run(run)) {
+        if job.progress.task_mut(task).is_some_and(|t| t.remove_run(run)) {
             self.dirty.insert(task.job);
             if !job.progress.state.over() {
                 self.open.insert(task.job);
@@ -136,7 +136,7 @@
     /// Records the start of a long-running task's downtime.
     fn note_down(&mut self, task: TaskId, at: u64) {
         let job = self.jobs.get_mut(&task.job);
-        if let Some(job) = job.filter(|j| j.step(task.step).lasting) {
+        if let Some(job) = job.filter(|j| j.step(task.step).long_running) {
             job.down_since.insert(task, at);
         }
     }
@@ -144,6 +144,6 @@
     /// Whether a task's record holds a run at an incarnation.
     pub(crate) fn has_run(&self, incarnation: &Incarnation, task: TaskId, run: u32) -> bool {
         let record = self.jobs.get(&task.job).and_then(|job| job.progress.task(task));
-        record.and_then(|t| t.run(run)).is_some_and(|r| r.worker == *incarnation)
+        record.and_then(|t| t.active_run(run)).is_some_and(|r| r.worker == *incarnation)
     }
 }
