--- a/crates/owner/src/jobs/transfer.rs
+++ b/crates/owner/src/jobs/transfer.rs
@@ -11,7 +11,10 @@
 
 use log::{Level, info, log, warn};
 
-use myrtle_job::{Free, Handed, JobId, Load, Part, PartId, Progress, Round, State, Taken, TaskId};
+use myrtle_job::{
+    FreeRoom, IncomingTransfer, JobId, Load, OutgoingTransfer, Progress, Round, State, TaskId,
+    Transfer, TransferId,
+};
 
 use crate::jobs::offer::Offer;
 use crate::{Cell, Job, Presence};
@@ -27,25 +30,31 @@
 
 impl Cell {
     /// Records an incoming transfer; a repeat changes nothing.
-    pub fn receive_transfer(&mut self, id: PartId, transfer: Part, now: u64, wall: u64) {
-        let Part { submission, mut tasks, allowances, crashes } = transfer;
+    pub fn receive_transfer(&mut self, id: TransferId, transfer: Transfer, now: u64, wall: u64) {
+        let Transfer { submission, mut tasks, budgets, crashes } = transfer;
         if let Err(e) = submission.spec.check() {
             return warn!("event=part-unusable job={} from={} reason=\"{e}\"", id.job, id.from);
         }
         let job = self.jobs.entry(id.job).or_insert_with(|| {
             let rounds = BTreeMap::from([(0, Round::fresh(&submission.spec))]);
             let state = State::Running;
-            let progress = Progress { state, rounds, next: 1, guest: true, ..Progress::default() };
+            let progress = Progress {
+                state,
+                rounds,
+                next_round: 1,
+                incoming_only: true,
+                ..Progress::default()
+            };
             Job::new(submission, progress, now)
         });
-        if job.progress.taken.iter().any(|t| t.part == id) {
+        if job.progress.incoming.iter().any(|t| t.transfer == id) {
             return;
         }
-        tasks.retain(|t| t.task.job == id.job && job.submission.spec.has(t.task));
+        tasks.retain(|t| t.task.job == id.job && job.submission.spec.has_task(t.task));
         for task in &tasks {
             if let Some(record) = job.progress.task_mut(task.task) {
-                record.last = record.last.max(task.last);
-                record.saved.clone_from(&task.saved);
+                record.last_run = record.last_run.max(task.last_run);
+                record.checkpoint.clone_from(&task.checkpoint);
             }
             job.mark_ready(task.task);
         }
@@ -60,8 +69,8 @@
         log!(level, "event=tasks-taken job={} tasks={} from={}", id.job, tasks.len(), id.from);
         let tasks = tasks.into_iter().map(|t| t.task).collect();
         job.received_at = now;
-        let turn = job.progress.turn();
-        job.progress.taken.push(Taken { part: id, tasks, turn, allowances });
+        let seq = job.progress.next_seq();
+        job.progress.incoming.push(IncomingTransfer { transfer: id, tasks, seq, budgets });
         self.dirty.insert(id.job);
         if self.early_cancels.remove(&id.job).is_some() {
             self.finish(id.job, State::Cancelled, now, wall);
@@ -84,14 +93,15 @@
             return;
         };
         // A cell that received it later may have returned it to this one.
-        let origin = job.progress.taken.iter().filter(|t| t.tasks.contains(&task));
-        let Some(to) = origin.min_by_key(|t| t.turn).map(|t| t.part.from) else {
+        let origin = job.progress.incoming.iter().filter(|t| t.tasks.contains(&task));
+        let Some(to) = origin.min_by_key(|t| t.seq).map(|t| t.transfer.from) else {
             return;
         };
-        let (tasks, turn) = (vec![task], job.progress.turn());
-        let allowances = job.split_budget(&tasks, to);
-        let outgoing = Handed { to, tasks, turn, delivered: false, recalled: false, allowances };
-        job.progress.handed.push(outgoing);
+        let (tasks, seq) = (vec![task], job.progress.next_seq());
+        let budgets = job.split_budget(&tasks, to);
+        let outgoing =
+            OutgoingTransfer { to, tasks, seq, delivered: false, recalled: false, budgets };
+        job.progress.outgoing.push(outgoing);
         self.dirty.insert(task.job);
     }
 
@@ -123,11 +133,11 @@
         };
         for (to, tasks) in transfers {
             info!("event=tasks-handed-on job={id} tasks={} to={to}", tasks.len());
-            let turn = job.progress.turn();
-            let allowances = job.split_budget(&tasks, to);
+            let seq = job.progress.next_seq();
+            let budgets = job.split_budget(&tasks, to);
             let outgoing =
-                Handed { to, tasks, turn, delivered: false, recalled: false, allowances };
-            job.progress.handed.push(outgoing);
+                OutgoingTransfer { to, tasks, seq, delivered: false, recalled: false, budgets };
+            job.progress.outgoing.push(outgoing);
         }
         job.transfer_until = job.transfer_until.max(transfer_until);
         if job.progress.state == State::Queued {
@@ -167,10 +177,10 @@
         let cpu = f64::from(claim.cpu);
         let resumed = job.resumes(task);
         let reserved = self.pass.reservations.has(task);
-        let fits = |free: &Free| free.service == *service && claim.fits(&free.room);
+        let fits = |free: &FreeRoom| free.service == *service && claim.fits(&free.room);
         let offer = |l: &Load| match resumed {
-            true if l.again.iter().any(fits) => Some(Offer::Now),
-            true if l.soon.iter().any(fits) && !reserved => Some(Offer::Soon),
+            true if l.restart_free.iter().any(fits) => Some(Offer::Now),
+            true if l.soon_free.iter().any(fits) && !reserved => Some(Offer::Soon),
             true => None,
             false => (l.free.iter().any(fits) && l.share(cpu) <= MAX_LOAD).then_some(Offer::Now),
         };
@@ -183,10 +193,10 @@
             a.cmp(b).then(x.load.share(cpu).total_cmp(&y.load.share(cpu)))
         })?;
         report.load.claimed += cpu;
-        let Load { free, again, soon, .. } = &mut report.load;
-        for list in [free, again, soon] {
+        let Load { free, restart_free, soon_free, .. } = &mut report.load;
+        for list in [free, restart_free, soon_free] {
             if let Some(free) = list.iter_mut().find(|free| fits(free)) {
-                free.room = free.room.less(&claim);
+                free.room = free.room.minus(&claim);
             }
         }
         Some((*cell, offer))
@@ -219,7 +229,7 @@
     let steps = steps.filter(|(round, (_, step))| {
         let spec = job.step(*step);
         // Other cells may not have the label.
-        let free = spec.lasting && !spec.gang && spec.requires.is_none();
+        let free = spec.long_running && !spec.gang && spec.requires.is_none();
         free && round.ready(&job.submission.spec, usize::from(*step))
     });
     let tasks = steps.flat_map(move |(_, (step, number))| {
--- a/crates/owner/src/jobs/unlogged.rs
+++ b/crates/owner/src/jobs/unlogged.rs
@@ -6,7 +6,7 @@
 
 use log::info;
 
-use myrtle_job::{Ended, RunEnd};
+use myrtle_job::{EndedRun, RunEnd};
 
 use crate::{Cell, Presence};
 
@@ -19,14 +19,14 @@
     /// Records an end that an earlier owner received; for a worker that answers, its own report
     /// counts.
     pub fn restore_end(&mut self, end: &RunEnd, now: u64, wall: u64) {
-        let RunEnd { life: incarnation, ended } = end;
-        let Ended { task, run, how, .. } = *ended;
+        let RunEnd { incarnation, ended } = end;
+        let EndedRun { task, run, reason, .. } = *ended;
         let answers =
             self.workers.get(incarnation).is_some_and(|w| w.presence == Presence::Answering);
         if answers || !self.has_run(incarnation, task, run) {
             return;
         }
-        info!("event=end-passed-on task={task} run={run} worker={incarnation} how={how}");
+        info!("event=end-passed-on task={task} run={run} worker={incarnation} how={reason}");
         if let Some(worker) = self.workers.get_mut(incarnation) {
             worker.remove_run(task, run, now);
         }
--- a/crates/owner/src/orders/active_run.rs
+++ b/crates/owner/src/orders/active_run.rs
@@ -92,12 +92,12 @@
             claim: spec.claim(),
             cpu: spec.room.cpu,
             image: spec.image.clone(),
-            target: spec.target,
+            target: spec.target_ms,
             filler: spec.filler,
-            long_running: spec.lasting,
-            copies: spec.copies,
-            saves: spec.saves,
-            estimate: spec.estimate,
+            long_running: spec.long_running,
+            copies: spec.speculative,
+            saves: spec.has_checkpoints,
+            estimate: spec.estimate_ms,
             percent: 0.0,
             changed_at: now,
             figure: 0.0,
@@ -127,7 +127,7 @@
             self.percent = running.percent;
             self.changed_at = now;
         }
-        let figure = running.figure.unwrap_or(0.0);
+        let figure = running.metric.unwrap_or(0.0);
         let changed = figure != self.figure;
         if changed {
             self.figure = figure;
--- a/crates/owner/src/orders/commit.rs
+++ b/crates/owner/src/orders/commit.rs
@@ -1,6 +1,6 @@
 //! Batches of records for the log, and what may follow once they are written.
 
-use myrtle_job::{Incarnation, JobId, Key, State, TaskId, encode_packed};
+use myrtle_job::{Incarnation, JobId, Key, State, TaskId, encode_compressed};
 
 use crate::{Cell, Order, Stage, WorkerRecord};
 
@@ -51,7 +51,7 @@
                 batch.records.push((id, self.cancel_record(id)));
                 continue;
             };
-            batch.records.push((id, encode_packed(&job.progress)));
+            batch.records.push((id, encode_compressed(&job.progress)));
             batch.logged_states.push((id, job.progress.state));
             batch.to_deliver.extend(self.undelivered(id, job));
         }
@@ -107,7 +107,7 @@
         let active = self.workers.get_mut(incarnation)?.active_runs.get_mut(&task)?;
         active.enter(Stage::Sent, now);
         let job = self.jobs.get(&task.job)?;
-        let saved = job.progress.task(task)?.saved.clone();
+        let saved = job.progress.task(task)?.checkpoint.clone();
         let ticket = job.ticket(task, incarnation, now);
         self.counts.starts += 1;
         let body = job.submission.spec.body.clone();
--- a/crates/owner/src/orders/order.rs
+++ b/crates/owner/src/orders/order.rs
@@ -2,7 +2,7 @@
 
 use std::sync::Arc;
 
-use myrtle_job::{Incarnation, Successor, TaskId, Told};
+use myrtle_job::{Incarnation, OrderReply, Replacement, TaskId};
 
 /// An order to a worker.
 #[derive(Debug, Clone, PartialEq, Eq)]
@@ -60,9 +60,9 @@
 pub enum Outcome {
     /// The worker replied.
     #[debug("Told({_0:?})")]
-    Replied(Told),
+    Replied(OrderReply),
     /// Another incarnation, or another worker, replied; the intended one is gone.
-    Replaced(Successor),
+    Replaced(Replacement),
     /// The worker is unhealthy and did nothing.
     #[debug("Unwell")]
     Unhealthy,
--- a/crates/owner/src/orders/replies.rs
+++ b/crates/owner/src/orders/replies.rs
@@ -2,7 +2,7 @@
 
 use log::{info, warn};
 
-use myrtle_job::{Incarnation, TaskId, Told};
+use myrtle_job::{Incarnation, OrderReply, TaskId};
 
 use crate::{Cell, Order, Outcome, Presence, Stage};
 
@@ -30,17 +30,17 @@
         outcome: Outcome,
         now: u64,
     ) -> bool {
-        if outcome != Outcome::Replied(Told::Done) {
+        if outcome != Outcome::Replied(OrderReply::Done) {
             info!(
                 "event=start-told task={task} run={run} worker={incarnation} outcome={outcome:?}"
             );
         }
         match outcome {
-            Outcome::Replied(Told::Done) => self.started(incarnation, task, run, now),
-            Outcome::Replied(Told::Fenced) => return true,
+            Outcome::Replied(OrderReply::Done) => self.started(incarnation, task, run, now),
+            Outcome::Replied(OrderReply::Fenced) => return true,
             Outcome::Replaced(by) => self.replaced(incarnation, by, now),
             // The run has been there: the worker's reports show how it ended.
-            Outcome::Replied(Told::Old) => self.started(incarnation, task, run, now),
+            Outcome::Replied(OrderReply::OutdatedRun) => self.started(incarnation, task, run, now),
             Outcome::Replied(reply) => self.refused(incarnation, task, run, reply, now),
             Outcome::Unhealthy => {
                 self.back_off(incarnation, now + UNHEALTHY_BACKOFF);
@@ -61,7 +61,7 @@
         outcome: Outcome,
         now: u64,
     ) -> bool {
-        if outcome == Outcome::Replied(Told::Fenced) {
+        if outcome == Outcome::Replied(OrderReply::Fenced) {
             return true;
         }
         if let Outcome::Replaced(by) = outcome {
@@ -146,14 +146,16 @@
         incarnation: &Incarnation,
         task: TaskId,
         run: u32,
-        reply: Told,
+        reply: OrderReply,
         now: u64,
     ) {
         self.counts.refused += 1;
         match reply {
-            Told::Full => self.back_off(incarnation, now + FULL_BACKOFF),
-            Told::Bad => warn!("event=start-bad task={task} run={run} worker={incarnation}"),
-            Told::Ticket => {
+            OrderReply::NoRoom => self.back_off(incarnation, now + FULL_BACKOFF),
+            OrderReply::Malformed => {
+                warn!("event=start-bad task={task} run={run} worker={incarnation}")
+            }
+            OrderReply::InvalidTicket => {
                 if let Some(job) = self.jobs.get_mut(&task.job) {
                     job.tickets.remove(&(task.round, task.step));
                 }
--- a/crates/owner/src/placing/copy.rs
+++ b/crates/owner/src/placing/copy.rs
@@ -28,7 +28,7 @@
 
     /// Whether a running task wants a copy beside its only run.
     pub(crate) fn wants_copy(&self, id: TaskId, task: &Task, now: u64) -> bool {
-        let [run] = task.live.as_slice() else {
+        let [run] = task.active.as_slice() else {
             return false;
         };
         let worker = self.workers.get(&run.worker);
--- a/crates/owner/src/placing/cost.rs
+++ b/crates/owner/src/placing/cost.rs
@@ -86,7 +86,7 @@
             if self.quarantined(worker, task, suspect, waited, now) {
                 continue;
             }
-            let ticketed = job.submission.policy.advice.is_some();
+            let ticketed = job.submission.policy.ticket_times.is_some();
             if ticketed && job.ticket(task, incarnation, now).is_none() {
                 continue;
             }
@@ -136,7 +136,7 @@
         if spec.requires.as_deref().is_some_and(|label| !worker.has_label(label)) {
             return false;
         }
-        spec.spread == 0 || step_tasks(worker, task) < usize::from(spec.spread)
+        spec.worker_limit == 0 || step_tasks(worker, task) < usize::from(spec.worker_limit)
     }
 
     /// The cost of a task on a worker; nothing if the task should rather wait.
@@ -146,7 +146,7 @@
         if spec.filler {
             return Some(cost + self.filler_cost(worker, search)?);
         }
-        if spec.lasting && !worker.has_long_running() {
+        if spec.long_running && !worker.has_long_running() {
             cost += NEW_WORKER_COST;
             if search.soft_left < worker.size() {
                 match search.tolerance {
@@ -170,7 +170,7 @@
             true => 0.0,
             false => SAME_STEP_COST * step_tasks as f64,
         };
-        if let Some(rack) = spec.rack.as_deref()
+        if let Some(rack) = spec.data_rack.as_deref()
             && !worker.has_label(rack)
         {
             cost += AVOID_COST;
@@ -219,7 +219,7 @@
             speed.count(forecast, effect.risk, share);
             pressure += f64::from(forecast.tasks) * effect.rise * share;
         }
-        let speed = speed.mean_speed(spec.estimate);
+        let speed = speed.mean_speed(spec.estimate_ms);
         let min_speed = match search.tolerance {
             Tolerance::Strict => MIN_SPEED,
             Tolerance::Relaxed => MIN_SPEED_LATE,
--- a/crates/owner/src/placing/logging.rs
+++ b/crates/owner/src/placing/logging.rs
@@ -54,7 +54,7 @@
         if able().all(|(_, w)| self.quarantined(w, task, false, 0, now)) {
             return "a task that may have crashed a worker has just begun wherever there is room";
         }
-        if job.submission.policy.advice.is_some() {
+        if job.submission.policy.ticket_times.is_some() {
             return "no worker with room has a ticket";
         }
         if spec.filler {
--- a/crates/owner/src/placing/place.rs
+++ b/crates/owner/src/placing/place.rs
@@ -24,7 +24,7 @@
                 left = true;
                 continue;
             }
-            let copy = job.progress.task(task).is_some_and(|t| !t.waits());
+            let copy = job.progress.task(task).is_some_and(|t| !t.is_waiting());
             let fit = match self.pass.unplaced.contains(&task) {
                 true => None,
                 false => self.find_worker(task, copy, now),
@@ -78,8 +78,8 @@
         if named.any(|(task, t)| !job.waits(task, t)) {
             return true;
         }
-        let number = tasks.iter().map(|t| t.last).max().unwrap_or(0) + 1;
-        let saved = tasks.iter().map(|t| &t.saved).max().cloned().unwrap_or_default();
+        let number = tasks.iter().map(|t| t.last_run).max().unwrap_or(0) + 1;
+        let checkpoint = tasks.iter().map(|t| &t.checkpoint).max().cloned().unwrap_or_default();
         let members: Vec<TaskId> = (0..tasks.len())
             .map(|index| TaskId { job: id, round, step, index: index as u16 })
             .collect();
@@ -108,7 +108,7 @@
         }
         for &task in &members {
             if let Some(t) = self.jobs.get_mut(&id).and_then(|j| j.progress.task_mut(task)) {
-                t.saved.clone_from(&saved);
+                t.checkpoint.clone_from(&checkpoint);
             }
         }
         false
@@ -124,11 +124,11 @@
         let Some(record) = job.progress.task_mut(task) else {
             return;
         };
-        let run = number.unwrap_or(record.last + 1);
-        record.last = run;
-        record.live.push(Run { number: run, worker: incarnation.clone() });
+        let run = number.unwrap_or(record.last_run + 1);
+        record.last_run = run;
+        record.active.push(Run { number: run, worker: incarnation.clone() });
         job.retry_at.remove(&task);
-        if !spec.lasting {
+        if !spec.long_running {
             job.waiting_since = None;
         }
         self.dirty.insert(task.job);
@@ -153,9 +153,9 @@
         else {
             return;
         };
-        let runs: Vec<_> = record.live.iter().filter(|r| r.number == number).cloned().collect();
-        record.drop_run(number);
-        record.last = number - 1;
+        let runs: Vec<_> = record.active.iter().filter(|r| r.number == number).cloned().collect();
+        record.remove_run(number);
+        record.last_run = number - 1;
         for run in runs {
             if let Some(worker) = self.workers.get_mut(&run.worker) {
                 worker.active_runs.remove(&task);
--- a/crates/owner/src/placing/plan.rs
+++ b/crates/owner/src/placing/plan.rs
@@ -45,13 +45,15 @@
             let Some(repeat) = spec.repeat else {
                 continue;
             };
-            while job.progress.next < repeat.count && wall >= repeat.due(job.progress.next) {
-                job.progress.rounds.insert(job.progress.next, Round::fresh(spec));
-                job.progress.next += 1;
+            while job.progress.next_round < repeat.count
+                && wall >= repeat.due(job.progress.next_round)
+            {
+                job.progress.rounds.insert(job.progress.next_round, Round::fresh(spec));
+                job.progress.next_round += 1;
                 self.open.insert(id);
                 self.dirty.insert(id);
             }
-            if job.progress.next >= repeat.count {
+            if job.progress.next_round >= repeat.count {
                 self.repeating.remove(&id);
             }
         }
@@ -112,7 +114,7 @@
         let mut ready: Vec<(u32, u16)> = Vec::new();
         for (&number, round) in &job.progress.rounds {
             for (at, step) in round.steps.iter().enumerate() {
-                let copies = spec.steps[at].copies;
+                let copies = spec.steps[at].speculative;
                 let mut tasks = step.tasks.iter().zip(0u16..);
                 let wanted = tasks.any(|(t, index)| {
                     let task = TaskId { job: id, round: number, step: at as u16, index };
@@ -143,7 +145,7 @@
     let due = job.arrived_at.saturating_add(objective);
     let ready = now + job.time_left();
     let tier = match () {
-        _ if job.submission.spec.lasts() => 0,
+        _ if job.submission.spec.has_long_running() => 0,
         _ if ready <= due => 0,
         _ if ready <= job.arrived_at.saturating_add(objective.saturating_mul(LATE_FACTOR)) => 1,
         _ => 2,
@@ -151,7 +153,7 @@
     // When demand exceeds capacity, ordering by deadline starts each job when it is too late for
     // it. Ordering by credit for the remaining work finishes jobs that have begun.
     let credit = CREDIT_FIXED * mean + CREDIT_PER_WORK * job.submission.spec.work();
-    let cost = match job.submission.spec.lasts() {
+    let cost = match job.submission.spec.has_long_running() {
         true => 0,
         false => (COST_SCALE * job.work_left() / credit.max(1.0)) as u64,
     };
--- a/crates/owner/src/placing/reservation.rs
+++ b/crates/owner/src/placing/reservation.rs
@@ -56,7 +56,7 @@
         spec: &StepSpec,
     ) -> bool {
         let reserved = self.reserved.get(incarnation);
-        reserved.is_none_or(|reserved| spec.claim().fits(&worker.free().less(reserved)))
+        reserved.is_none_or(|reserved| spec.claim().fits(&worker.free().minus(reserved)))
     }
 
     fn add(&mut self, task: TaskId, incarnation: &Incarnation, claim: Room) {
@@ -121,7 +121,7 @@
                 && self.eligible(worker, job, spec, task)
                 && !avoided.contains(incarnation)
                 && !self.quarantined(worker, task, suspect, waited, now)
-                && (job.submission.policy.advice.is_none()
+                && (job.submission.policy.ticket_times.is_none()
                     || job.ticket(task, incarnation, now).is_some())
         });
         let times = candidates.filter_map(|(incarnation, worker)| {
@@ -144,7 +144,7 @@
     fn restart_steps(&self) -> Vec<(u32, u16)> {
         let spec = &self.submission.spec;
         let steps = self.progress.rounds.iter().flat_map(|(&number, round)| {
-            let steps = (0u16..).zip(&spec.steps).filter(|(_, step)| step.lasting);
+            let steps = (0u16..).zip(&spec.steps).filter(|(_, step)| step.long_running);
             let ready = steps.filter(|(at, _)| round.ready(spec, usize::from(*at)));
             ready.map(move |(at, _)| (number, at))
         });
--- a/crates/owner/src/placing/search.rs
+++ b/crates/owner/src/placing/search.rs
@@ -44,7 +44,7 @@
         now: u64,
     ) -> Self {
         let (soft_left, hard_left) =
-            if spec.lasting { cell.long_running_left(task, now) } else { (0.0, 0.0) };
+            if spec.long_running { cell.long_running_left(task, now) } else { (0.0, 0.0) };
         Self {
             spec,
             task,
--- a/crates/owner/src/placing/tickets.rs
+++ b/crates/owner/src/placing/tickets.rs
@@ -58,7 +58,7 @@
         let Some(job) = self.jobs.get_mut(&question.job) else {
             return;
         };
-        let valid = job.submission.policy.advice.map_or(0, |a| a.valid);
+        let valid = job.submission.policy.ticket_times.map_or(0, |a| a.valid_ms);
         let tickets = job.tickets.entry((question.round, question.step)).or_default();
         tickets.asking = false;
         self.open.insert(question.job);
@@ -85,7 +85,7 @@
         let Some(job) = self.jobs.get(&task.job) else {
             return;
         };
-        let Some(advice) = job.submission.policy.advice else {
+        let Some(advice) = job.submission.policy.ticket_times else {
             return;
         };
         let spec = job.step(task.step);
@@ -110,7 +110,7 @@
         if workers.is_empty() {
             return;
         }
-        let limit = advice.base + advice.each * workers.len() as u64;
+        let limit = advice.call_ms + advice.worker_ms * workers.len() as u64;
         let question =
             Question { job: task.job, round: task.round, step: task.step, workers, limit };
         self.questions.push(question);
--- a/crates/owner/src/placing/tolerance.rs
+++ b/crates/owner/src/placing/tolerance.rs
@@ -32,8 +32,10 @@
     pub(crate) fn tolerance(&self, task: TaskId, now: u64) -> Tolerance {
         let spec = self.step(task.step);
         let waited = self.waited(now);
-        match (spec.filler, spec.lasting) {
-            (true, _) if waited >= FILLER_IDLE_LIMIT && !self.progress.live() => Tolerance::Any,
+        match (spec.filler, spec.long_running) {
+            (true, _) if waited >= FILLER_IDLE_LIMIT && !self.progress.has_active() => {
+                Tolerance::Any
+            }
             (true, _) if waited >= FILLER_RELAX_AFTER => Tolerance::Relaxed,
             (_, true) if self.resumes(task) => Tolerance::Any,
             (false, _) if waited >= RELAX_AFTER => Tolerance::Relaxed,
--- a/crates/owner/src/placing/unplaceable.rs
+++ b/crates/owner/src/placing/unplaceable.rs
@@ -52,16 +52,16 @@
     /// The record of a step that found no worker; nothing if the step has further constraints.
     fn from_step(job: &Job, spec: &StepSpec, tolerance: Tolerance) -> Option<Self> {
         let policy = &job.submission.policy;
-        if spec.requires.is_some() || spec.spread > 0 || policy.advice.is_some() {
+        if spec.requires.is_some() || spec.worker_limit > 0 || policy.ticket_times.is_some() {
             return None;
         }
         Some(Self {
             service: policy.service.clone(),
             image: spec.image.clone(),
             filler: spec.filler,
-            lasting: spec.lasting,
+            lasting: spec.long_running,
             room: spec.room,
-            estimate: spec.estimate,
+            estimate: spec.estimate_ms,
             tolerance,
         })
     }
@@ -70,9 +70,9 @@
     fn covers(&self, job: &Job, spec: &StepSpec, tolerance: Tolerance) -> bool {
         self.service == job.submission.policy.service
             && self.image == spec.image
-            && (self.filler, self.lasting) == (spec.filler, spec.lasting)
+            && (self.filler, self.lasting) == (spec.filler, spec.long_running)
             && self.room.fits(&spec.room)
-            && (!spec.filler || self.estimate <= spec.estimate)
+            && (!spec.filler || self.estimate <= spec.estimate_ms)
             && self.tolerance >= tolerance
     }
 }
--- a/crates/owner/src/workers/crash.rs
+++ b/crates/owner/src/workers/crash.rs
@@ -123,7 +123,11 @@
             if age >= TRUSTED_AFTER {
                 self.clear(*task);
             } else if recent || !repeated {
-                self.count_loss(incarnation, *task, Loss { age: age as u32, fresh: recent, alone });
+                self.count_loss(
+                    incarnation,
+                    *task,
+                    Loss { age_ms: age as u32, early: recent, isolated: alone },
+                );
             }
         }
     }
@@ -137,15 +141,15 @@
             return;
         }
         let crashes = job.progress.crashes.entry(task).or_default();
-        let before = crashes.doubts;
+        let before = crashes.suspect_losses;
         crashes.count(loss);
-        let Crashes { seen, doubts, .. } = *crashes;
-        if doubts > before {
+        let Crashes { losses, suspect_losses, .. } = *crashes;
+        if suspect_losses > before {
             info!(
-                "event=task-doubted task={task} worker={incarnation} doubts={doubts} seen={seen}"
+                "event=task-doubted task={task} worker={incarnation} doubts={suspect_losses} seen={losses}"
             );
         }
-        if crashes.too_many() {
+        if crashes.exceeded() {
             self.given_up_tasks.insert(task);
         }
         self.dirty.insert(task.job);
@@ -177,17 +181,20 @@
             let Some(job) = self.jobs.get(&task.job).filter(|j| !j.progress.state.over()) else {
                 continue;
             };
-            if job.progress.away(task) {
+            if job.progress.is_transferred(task) {
                 continue;
             }
-            let Crashes { seen, doubts, .. } =
+            let Crashes { losses, suspect_losses, .. } =
                 job.progress.crashes.get(&task).copied().unwrap_or_default();
-            if job.progress.guest || job.progress.moved.is_some() {
-                warn!("event=task-given-back task={task} crashes={seen} doubts={doubts}");
+            if job.progress.incoming_only || job.progress.job_transfer.is_some() {
+                warn!("event=task-given-back task={task} crashes={losses} doubts={suspect_losses}");
                 self.return_task(task);
                 continue;
             }
-            warn!("event=job-failed job={} task={task} crashes={seen} doubts={doubts}", task.job);
+            warn!(
+                "event=job-failed job={} task={task} crashes={losses} doubts={suspect_losses}",
+                task.job
+            );
             self.counts.given_up += 1;
             self.finish(task.job, State::Failed, now, wall);
         }
@@ -205,14 +212,14 @@
     /// Whether a task is suspected of crashing a worker.
     pub(crate) fn is_suspected(&self, task: TaskId) -> bool {
         let job = self.jobs.get(&task.job);
-        job.and_then(|j| j.progress.crashes.get(&task)).is_some_and(|c| c.doubts > 0)
+        job.and_then(|j| j.progress.crashes.get(&task)).is_some_and(|c| c.suspect_losses > 0)
     }
 
     /// Whether a task may have a copy beside its only run: both could crash their workers before
     /// either loss is known.
     pub(crate) fn may_copy(&self, task: TaskId) -> bool {
         let job = self.jobs.get(&task.job);
-        job.and_then(|j| j.progress.crashes.get(&task)).is_none_or(Crashes::bears_copy)
+        job.and_then(|j| j.progress.crashes.get(&task)).is_none_or(Crashes::allows_copy)
     }
 
     /// Whether a task that has waited for `waited` milliseconds may not start on a worker, since a
--- a/crates/owner/src/workers/drain.rs
+++ b/crates/owner/src/workers/drain.rs
@@ -129,10 +129,10 @@
         let tasks = &round.steps[usize::from(task.step)].tasks;
         let unavailable = tasks.iter().enumerate().filter(|(index, t)| {
             let id = TaskId { index: *index as u16, ..task };
-            if job.progress.away(id) {
+            if job.progress.is_transferred(id) {
                 return job.transfer_pending(now);
             }
-            !t.live.iter().any(|r| {
+            !t.active.iter().any(|r| {
                 let active = self.workers.get(&r.worker).and_then(|w| w.active_runs.get(&id));
                 active.is_some_and(|f| f.stage == Stage::Running && f.percent >= 100.0)
             })
--- a/crates/owner/src/workers/health.rs
+++ b/crates/owner/src/workers/health.rs
@@ -2,7 +2,7 @@
 
 use log::warn;
 
-use myrtle_job::{How, Incarnation, TaskId};
+use myrtle_job::{EndReason, Incarnation, TaskId};
 
 use crate::{Cell, Stage};
 
@@ -32,19 +32,19 @@
     pub(crate) fn count_end(
         &mut self,
         incarnation: &Incarnation,
-        how: How,
+        reason: EndReason,
         task: TaskId,
         now: u64,
     ) {
         let Some(worker) = self.workers.get_mut(incarnation) else {
             return;
         };
-        match how {
-            How::Done => {
+        match reason {
+            EndReason::Done => {
                 worker.failures = 0;
                 worker.backoffs = 0;
             }
-            How::Failed => {
+            EndReason::Failed => {
                 worker.failures += 1;
                 if worker.failures >= MAX_FAILS {
                     worker.failures = MAX_FAILS - 1;
--- a/crates/owner/src/workers/list.rs
+++ b/crates/owner/src/workers/list.rs
@@ -14,11 +14,11 @@
     /// next, and the records in the log are older than either. The worker at the address is asked
     /// instead.
     pub fn apply_listing(&mut self, id: &str, listing: Listing, now: u64) {
-        let incarnation = self.listed_as(id, listing.start);
+        let incarnation = self.listed_as(id, listing.started_at);
         if self.has_ended(&incarnation) {
             return debug!("event=entry-past worker={incarnation}");
         }
-        self.end_earlier(&incarnation, listing.written, now);
+        self.end_earlier(&incarnation, listing.offset, now);
         let worker = self.workers.entry(incarnation.clone()).or_insert_with(|| Worker::new(now));
         let changed = worker.listing.as_ref().is_none_or(|l| l.draining != listing.draining);
         if changed {
@@ -28,14 +28,14 @@
                 "event=worker-listed worker={incarnation} draining={} room=\"{}\" remaining_ms={:?}",
                 listing.draining,
                 listing.room,
-                listing.remaining
+                listing.remaining_ms
             );
         }
         if listing.draining {
-            let leaves = listing.remaining.map(|r| now + r);
+            let leaves = listing.remaining_ms.map(|r| now + r);
             worker.leaves_at = worker.leaves_at.or(leaves);
         }
-        worker.warm_at = now + listing.cold;
+        worker.warm_at = now + listing.warmup_ms;
         worker.listing = Some(listing);
         worker.update_evacuated(&self.evacuated);
         worker.listed = true;
--- a/crates/owner/src/workers/renewal.rs
+++ b/crates/owner/src/workers/renewal.rs
@@ -2,7 +2,7 @@
 
 use log::{Level, info, log, warn};
 
-use myrtle_job::{Held, Incarnation, Running, State, Successor, TaskId, Told};
+use myrtle_job::{Incarnation, OrderReply, Replacement, Running, State, TaskId, WorkerRuns};
 
 use crate::{Cell, Order, Presence, Stage};
 
@@ -17,16 +17,16 @@
     pub fn renewed(
         &mut self,
         incarnation: &Incarnation,
-        held: Held,
+        held: WorkerRuns,
         sent: u64,
         now: u64,
         wall: u64,
     ) {
-        if held.start != 0 && held.start != incarnation.start() {
-            return self.replaced(incarnation, Successor::Restarted(held.start), now);
+        if held.started_at != 0 && held.started_at != incarnation.start() {
+            return self.replaced(incarnation, Replacement::Restarted(held.started_at), now);
         }
         let silent = self.workers.get(incarnation).map_or(0, |w| now.saturating_sub(w.answered_at));
-        self.update_clock(incarnation, held.clock, now);
+        self.update_clock(incarnation, held.clock_ms, now);
         let Some(worker) = self.workers.get_mut(incarnation) else {
             return;
         };
@@ -91,14 +91,14 @@
     }
 
     /// Handles a refused lease renewal; true if a successor of this owner is the reason.
-    pub fn renewal_refused(&mut self, incarnation: &Incarnation, reply: Told) -> bool {
+    pub fn renewal_refused(&mut self, incarnation: &Incarnation, reply: OrderReply) -> bool {
         warn!("event=hold-refused worker={incarnation} told=\"{reply}\"");
-        reply == Told::Fenced
+        reply == OrderReply::Fenced
     }
 
     /// Applies a worker's report of a run that goes on.
     fn apply_running(&mut self, incarnation: &Incarnation, running: &Running, now: u64) {
-        let Running { task, run, saved, .. } = running;
+        let Running { task, run, checkpoint, .. } = running;
         let Some(worker) = self.workers.get_mut(incarnation) else {
             return;
         };
@@ -115,11 +115,11 @@
         let Some(job) = self.jobs.get_mut(&task.job) else {
             return self.stop_run(incarnation, *task, *run, now);
         };
-        if !saved.is_empty()
+        if !checkpoint.is_empty()
             && let Some(record) = job.progress.task_mut(*task)
-            && record.saved != *saved
+            && record.checkpoint != *checkpoint
         {
-            record.saved.clone_from(saved);
+            record.checkpoint.clone_from(checkpoint);
         }
         if job.progress.state.over() {
             // An earlier owner ended the job and may not have stopped its runs.
--- a/crates/owner/src/workers/restarts.rs
+++ b/crates/owner/src/workers/restarts.rs
@@ -12,7 +12,7 @@
 use derive_more::Display;
 use log::{info, warn};
 
-use myrtle_job::{Incarnation, Successor, TaskId};
+use myrtle_job::{Incarnation, Replacement, TaskId};
 
 use crate::workers::crash::Cause;
 use crate::{ActiveRun, Cell, Order, Presence, Stage, Worker};
@@ -39,11 +39,11 @@
 impl Cell {
     /// Handles a reply that shows that another incarnation, or another worker, is where this one
     /// was.
-    pub fn replaced(&mut self, incarnation: &Incarnation, by: Successor, now: u64) {
-        let Successor::Restarted(start) = by else {
+    pub fn replaced(&mut self, incarnation: &Incarnation, by: Replacement, now: u64) {
+        let Replacement::Restarted(start) = by else {
             return self.mark_replaced(incarnation, now);
         };
-        let next = incarnation.started(start);
+        let next = incarnation.with_start(start);
         // One that is no longer known was asked before its successor was.
         if next == *incarnation || !self.workers.contains_key(incarnation) {
             return;
@@ -84,14 +84,14 @@
     }
 
     /// Ends the earlier incarnations of a worker when the list shows `next`, whose entry was
-    /// written at `written`: those with an earlier start whose own entries were read before.
+    /// written at `offset`: those with an earlier start whose own entries were read before.
     ///
     /// An incarnation that is known from the log or a reply may be the later one, on a host whose
     /// clock was set back; one that answers will report its own end. Both are asked.
-    pub(crate) fn end_earlier(&mut self, next: &Incarnation, written: u64, now: u64) {
+    pub(crate) fn end_earlier(&mut self, next: &Incarnation, offset: u64, now: u64) {
         let earlier = self.incarnations(next.id()).filter(|(incarnation, worker)| {
             let before =
-                worker.entry_read && worker.listing.as_ref().is_some_and(|l| l.written < written);
+                worker.entry_read && worker.listing.as_ref().is_some_and(|l| l.offset < offset);
             before && worker.presence != Presence::Answering && incarnation.start() < next.start()
         });
         let earlier: Vec<_> = earlier.map(|(incarnation, _)| incarnation.clone()).collect();
@@ -171,7 +171,7 @@
             let run = active.run;
             next_worker.active_runs.insert(task, active);
             let record = self.jobs.get_mut(&task.job).and_then(|j| j.progress.task_mut(task));
-            let record = record.and_then(|t| t.live.iter_mut().find(|r| r.number == run));
+            let record = record.and_then(|t| t.active.iter_mut().find(|r| r.number == run));
             if let Some(record) = record {
                 record.worker = next.clone();
                 self.dirty.insert(task.job);
--- a/crates/owner/src/workers/worker.rs
+++ b/crates/owner/src/workers/worker.rs
@@ -161,7 +161,7 @@
 
     /// The room that is not claimed.
     pub fn free(&self) -> Room {
-        self.room().less(&self.used())
+        self.room().minus(&self.used())
     }
 
     /// Whether it has announced that it leaves.
--- a/crates/owner/tests/active_runs.rs
+++ b/crates/owner/tests/active_runs.rs
@@ -53,7 +53,7 @@
 
 case!(a_long_running_run_is_reported_while_active, worker, {
     assert!(!worker.has_long_running());
-    let long_running = StepSpec { lasting: true, ..step(false) };
+    let long_running = StepSpec { long_running: true, ..step(false) };
     worker.active_runs.insert(task(0), ActiveRun::new(1, &long_running, Stage::Running, 0));
     assert!(worker.has_long_running());
     worker.active_runs.clear();
--- a/crates/owner/tests/balance.rs
+++ b/crates/owner/tests/balance.rs
@@ -31,16 +31,17 @@
             address: ([10, 0, 0, 1], 1000 + n).into(),
             data_centre: "d".into(),
             draining: false,
-            remaining: None,
+            remaining_ms: None,
             room: Room { cpu: 32_000, mem: 128_000, accel: 0 },
             labels: vec![],
             machine: None,
-            written: 1,
-            cold: 0,
-            start: 0,
+            offset: 1,
+            warmup_ms: 0,
+            started_at: 0,
         };
         cell.apply_listing(&format!("w{n}"), listing, 0);
-        let held = myrtle_job::Held { start: 0, clock: 5, running: vec![], ended: vec![] };
+        let held =
+            myrtle_job::WorkerRuns { started_at: 0, clock_ms: 5, running: vec![], ended: vec![] };
         cell.renewed(&Incarnation::new(format!("w{n}"), 0), held, 0, 1, 1);
     }
     cell.loaded = true;
@@ -58,23 +59,29 @@
     let step = StepSpec {
         count: 4,
         room: Room { cpu: 8_000, mem: 1_000, accel: 0 },
-        estimate: 1_000,
-        lasting: long_running,
+        estimate_ms: 1_000,
+        long_running,
         ..StepSpec::default()
     };
     let spec = JobSpec { body: "b".into(), steps: vec![step], repeat: None };
     let policy =
-        Policy { queue: "q".into(), service: "s".into(), attempts: 3, ..Policy::default() };
-    Submission { policy, spec, taken: 0 }
+        Policy { queue: "q".into(), service: "s".into(), max_failures: 3, ..Policy::default() };
+    Submission { policy, spec, accepted_at: 0 }
 }
 
 fn load(claimed: f64) -> Load {
-    Load { claimed, size: 128_000.0, free: vec![], again: vec![], soon: vec![] }
+    Load { claimed, capacity: 128_000.0, free: vec![], restart_free: vec![], soon_free: vec![] }
 }
 
 /// The load of a cell four times as large, without long-running tasks.
 fn roomy() -> Load {
-    Load { claimed: 0.0, size: 512_000.0, free: vec![], again: vec![], soon: vec![] }
+    Load {
+        claimed: 0.0,
+        capacity: 512_000.0,
+        free: vec![],
+        restart_free: vec![],
+        soon_free: vec![],
+    }
 }
 
 /// Plans and writes once; returns the progress written for the job, and the starts.
@@ -97,14 +104,14 @@
     assert_eq!(cell.deliveries(), vec![], "not before its home cell has written the transfer");
     let (progress, starts) = write(&mut cell);
     assert_eq!(starts, vec![]);
-    assert_eq!(progress.unwrap().moved.unwrap().to, OTHER);
+    assert_eq!(progress.unwrap().job_transfer.unwrap().to, OTHER);
     let deliveries = cell.deliveries();
     assert_eq!(deliveries.len(), 1);
     assert_eq!(decode::<Submission>(&deliveries[0].record).unwrap(), submission(true));
     assert_eq!(cell.transferred_to(JOB), Some(OTHER));
     assert!(cell.pending().is_empty(), "the other cell counts it");
     cell.delivered(Key::Job(JOB));
-    assert!(write(&mut cell).0.unwrap().moved.unwrap().delivered);
+    assert!(write(&mut cell).0.unwrap().job_transfer.unwrap().delivered);
     assert_eq!(cell.deliveries(), vec![]);
 });
 
--- a/crates/owner/tests/cancelled.rs
+++ b/crates/owner/tests/cancelled.rs
@@ -84,11 +84,11 @@
 }
 
 fn long(count: u16) -> StepSpec {
-    StepSpec { estimate: 60_000, ..step(count) }
+    StepSpec { estimate_ms: 60_000, ..step(count) }
 }
 
 fn long_running(count: u16) -> StepSpec {
-    StepSpec { lasting: true, may_miss: Some(1), ..step(count) }
+    StepSpec { long_running: true, disruption_budget: Some(1), ..step(count) }
 }
 
 /// Orders are lost or executed late, owners are replaced and workers lose their entries while
@@ -104,7 +104,7 @@
     for _ in 0..6 {
         watch.world.submit(job(vec![long(3)]));
         watch.world.submit(job(vec![long_running(3)]));
-        watch.world.submit(job(vec![StepSpec { copies: true, ..long(2) }]));
+        watch.world.submit(job(vec![StepSpec { speculative: true, ..long(2) }]));
         watch.world.faults = Faults { unanswered: 0.2, late, queued: 0.1, ..Faults::default() };
         let length = watch.world.rng.random_range(0..4_000);
         watch.run_faulty(length);
--- a/crates/owner/tests/cell_turns.rs
+++ b/crates/owner/tests/cell_turns.rs
@@ -28,7 +28,7 @@
 /// A step of `count` tasks of `cores` cores each.
 fn tasks(count: u16, cores: u32, long_running: bool) -> StepSpec {
     let room = Room { cpu: 1_000 * cores, mem: 1_000, accel: 0 };
-    StepSpec { count, room, lasting: long_running, estimate: 5_000, ..step() }
+    StepSpec { count, room, long_running, estimate_ms: 5_000, ..step() }
 }
 
 /// The tasks of a job that were started in the other cell.
--- a/crates/owner/tests/cells/act.rs
+++ b/crates/owner/tests/cells/act.rs
@@ -2,7 +2,9 @@
 
 use rand::RngExt;
 
-use myrtle_job::{Ended, Held, How, Key, Running, Successor, TaskId, Told, decode};
+use myrtle_job::{
+    EndReason, EndedRun, Key, OrderReply, Replacement, Running, TaskId, WorkerRuns, decode,
+};
 use myrtle_owner::{Delivery, Order, Outcome};
 
 use super::fixtures::{first_of, name};
@@ -16,7 +18,7 @@
             let id = name(cell, n);
             if let Some(&back) = self.crashed.get(&id) {
                 match now >= back {
-                    true => self.owners[cell].replaced(&id, Successor::Other, now),
+                    true => self.owners[cell].replaced(&id, Replacement::Other, now),
                     false => self.owners[cell].renewal_failed(&id, now),
                 }
                 continue;
@@ -26,13 +28,13 @@
                 self.owners[cell].workers.keys().filter(|incarnation| incarnation.id() == id.id());
             let others = of_id.filter(|incarnation| incarnation.start() != start);
             for incarnation in others.cloned().collect::<Vec<_>>() {
-                self.owners[cell].replaced(&incarnation, Successor::Restarted(start), now);
+                self.owners[cell].replaced(&incarnation, Replacement::Restarted(start), now);
             }
             let incarnation = self.incarnation(&id);
             let worker = self.workers.entry(id).or_default();
             let id = incarnation;
             let seen = self.owners[cell].renewal_args(&id, now).map_or(0, |args| args.logged_ends);
-            worker.ended.retain(|end| end.number > seen);
+            worker.ended.retain(|end| end.seq > seen);
             let runs = self.owners[cell].workers.get(&id).map(|w| &w.active_runs);
             let long_running =
                 |task: &TaskId| runs.and_then(|r| r.get(task)).is_none_or(|r| r.long_running);
@@ -41,12 +43,16 @@
             let running = worker.runs.iter().map(|(&task, (run, saved))| Running {
                 task,
                 run: *run,
-                saved: saved.clone(),
+                checkpoint: saved.clone(),
                 percent: percent(&task),
-                figure: None,
+                metric: None,
             });
-            let held =
-                Held { start, clock: now, running: running.collect(), ended: worker.ended.clone() };
+            let held = WorkerRuns {
+                started_at: start,
+                clock_ms: now,
+                running: running.collect(),
+                ended: worker.ended.clone(),
+            };
             self.owners[cell].renewed(&id, held, now, now, now);
         }
     }
@@ -80,8 +86,8 @@
         let first = first_of(order.worker());
         let start = self.incarnation(&first).start();
         let outcome = match order.worker().start() == start {
-            true => Outcome::Replied(Told::Done),
-            false => Outcome::Replaced(Successor::Restarted(start)),
+            true => Outcome::Replied(OrderReply::Done),
+            false => Outcome::Replaced(Replacement::Restarted(start)),
         };
         let worker = self.workers.entry(first).or_default();
         if matches!(outcome, Outcome::Replaced(_)) {
@@ -104,8 +110,14 @@
             Order::Stop { worker: incarnation, task, run } => {
                 if let Some((run, saved)) = worker.runs.remove(task) {
                     worker.count += 1;
-                    let (number, how) = (worker.count, How::Stopped);
-                    worker.ended.push(Ended { number, task: *task, run, how, saved });
+                    let (number, how) = (worker.count, EndReason::Stopped);
+                    worker.ended.push(EndedRun {
+                        seq: number,
+                        task: *task,
+                        run,
+                        reason: how,
+                        checkpoint: saved,
+                    });
                 }
                 self.owners[cell].stop_replied(incarnation, *task, *run, outcome, now);
             }
@@ -163,7 +175,7 @@
                 owner.admit(id, decode(record).unwrap(), now, now);
                 owner.set_home(id, self.home);
             }
-            Key::Part(id) => owner.receive_transfer(id, decode(record).unwrap(), now, now),
+            Key::Transfer(id) => owner.receive_transfer(id, decode(record).unwrap(), now, now),
             Key::Recall(id) => owner.cancel_transferred(id.job, now, now),
         }
     }
--- a/crates/owner/tests/cells/fixtures.rs
+++ b/crates/owner/tests/cells/fixtures.rs
@@ -2,7 +2,7 @@
 
 use myrtle_base::Room;
 use myrtle_job::{
-    Held, Incarnation, JobId, JobSpec, Listing, Policy, StepSpec, Submission, TaskId,
+    Incarnation, JobId, JobSpec, Listing, Policy, StepSpec, Submission, TaskId, WorkerRuns,
 };
 use myrtle_owner::{Cell, Order, TimeLimits};
 
@@ -21,7 +21,7 @@
 
 /// The first incarnation of the same worker.
 pub fn first_of(incarnation: &Incarnation) -> Incarnation {
-    incarnation.started(FIRST)
+    incarnation.with_start(FIRST)
 }
 
 /// The listing of a worker of 32 cores.
@@ -31,13 +31,13 @@
         address: ([10, 0, cell as u8, 1], 1000 + worker).into(),
         data_centre: format!("d{cell}"),
         draining,
-        remaining: None,
+        remaining_ms: None,
         room: Room { cpu: 32_000, mem: 128_000, accel: 0 },
         labels: vec![],
         machine: None,
-        written: 1,
-        cold: 0,
-        start: FIRST,
+        offset: 1,
+        warmup_ms: 0,
+        started_at: FIRST,
     }
 }
 
@@ -53,7 +53,7 @@
             listing(number as usize, worker, false),
             now,
         );
-        let held = Held { start: 0, clock: now, running: vec![], ended: vec![] };
+        let held = WorkerRuns { started_at: 0, clock_ms: now, running: vec![], ended: vec![] };
         cell.renewed(&name(number as usize, worker), held, now, now, now);
     }
     cell
@@ -64,8 +64,8 @@
     StepSpec {
         count: 16,
         room: Room { cpu: 8_000, mem: 1_000, accel: 0 },
-        estimate: 1_000,
-        lasting: true,
+        estimate_ms: 1_000,
+        long_running: true,
         ..StepSpec::default()
     }
 }
@@ -74,8 +74,8 @@
 pub fn submission(steps: Vec<StepSpec>) -> Submission {
     let spec = JobSpec { body: "b".into(), steps, repeat: None };
     let policy =
-        Policy { queue: "q".into(), service: "s".into(), attempts: 3, ..Policy::default() };
-    Submission { policy, spec, taken: 0 }
+        Policy { queue: "q".into(), service: "s".into(), max_failures: 3, ..Policy::default() };
+    Submission { policy, spec, accepted_at: 0 }
 }
 
 /// The starts among some orders: task, run, checkpoint.
--- a/crates/owner/tests/cells/mod.rs
+++ b/crates/owner/tests/cells/mod.rs
@@ -12,8 +12,8 @@
 use rand_chacha::ChaCha8Rng;
 
 use myrtle_job::{
-    Ended, How, Incarnation, JobId, Key, Listing, Part, PartId, PartTask, Progress, StepSpec,
-    TaskId,
+    EndReason, EndedRun, Incarnation, JobId, Key, Listing, Progress, StepSpec, TaskId, Transfer,
+    TransferId, TransferredTask,
 };
 use myrtle_owner::{Cell, Delivery, Order};
 
@@ -31,7 +31,7 @@
 #[derive(Debug, Default)]
 struct Worker {
     runs: BTreeMap<TaskId, (u32, String)>,
-    ended: Vec<Ended>,
+    ended: Vec<EndedRun>,
     /// The number of ends so far.
     count: u64,
 }
@@ -148,7 +148,7 @@
 
     /// The current incarnation of a worker.
     fn incarnation(&self, first: &Incarnation) -> Incarnation {
-        self.started.get(first).map_or_else(|| first.clone(), |start| first.started(*start))
+        self.started.get(first).map_or_else(|| first.clone(), |start| first.with_start(*start))
     }
 
     /// Removes a worker and its runs for good, without notice.
@@ -161,7 +161,7 @@
     /// The current entry of a worker.
     fn entry(&self, cell: usize, worker: u16, draining: bool) -> Listing {
         let start = self.incarnation(&name(cell, worker)).start();
-        Listing { start, ..listing(cell, worker, draining) }
+        Listing { started_at: start, ..listing(cell, worker, draining) }
     }
 
     /// Completes the run of a task.
@@ -169,7 +169,13 @@
         for worker in self.workers.values_mut() {
             if let Some((run, saved)) = worker.runs.remove(&task) {
                 worker.count += 1;
-                worker.ended.push(Ended { number: worker.count, task, run, how: How::Done, saved });
+                worker.ended.push(EndedRun {
+                    seq: worker.count,
+                    task,
+                    run,
+                    reason: EndReason::Done,
+                    checkpoint: saved,
+                });
             }
         }
     }
@@ -182,20 +188,20 @@
 
     /// Transfers tasks to a cell that ran once in the first cell and have no run now.
     pub fn give_part(&mut self, cell: usize, job: JobId, count: u16) {
-        let tasks = (0..count).map(|index| PartTask {
+        let tasks = (0..count).map(|index| TransferredTask {
             task: TaskId { job, round: 0, step: 0, index },
-            last: 1,
-            saved: String::new(),
+            last_run: 1,
+            checkpoint: String::new(),
         });
         let tasks = tasks.collect();
-        let part = Part {
+        let part = Transfer {
             submission: submission(vec![step()]),
             tasks,
-            allowances: vec![],
+            budgets: vec![],
             crashes: vec![],
         };
-        let id = PartId { job, from: 0, number: 0 };
-        self.append(cell, Key::Part(id), myrtle_job::encode(&part));
+        let id = TransferId { job, from: 0, number: 0 };
+        self.append(cell, Key::Transfer(id), myrtle_job::encode(&part));
     }
 
     /// Cancels the job of the home cell.
--- a/crates/owner/tests/common/act.rs
+++ b/crates/owner/tests/common/act.rs
@@ -5,7 +5,7 @@
 use rand::RngExt;
 use rand::seq::SliceRandom;
 
-use myrtle_job::{Incarnation, Listing, Successor, Told};
+use myrtle_job::{Incarnation, Listing, OrderReply, Replacement};
 use myrtle_owner::{Order, Outcome};
 
 use super::{STEP, World};
@@ -28,8 +28,12 @@
             if worker.listed {
                 let old = self.stale.get(id).filter(|(until, _)| now < *until);
                 let listing = old.map_or(&worker.listing, |(_, listing)| listing);
-                let start = if self.untold { 0 } else { listing.start };
-                self.owners[at].cell.apply_listing(id, Listing { start, ..listing.clone() }, now);
+                let start = if self.untold { 0 } else { listing.started_at };
+                self.owners[at].cell.apply_listing(
+                    id,
+                    Listing { started_at: start, ..listing.clone() },
+                    now,
+                );
             } else {
                 self.owners[at].cell.remove_listing(id, now);
             }
@@ -124,19 +128,19 @@
     }
 
     /// What answers at the address of an incarnation that is gone.
-    fn successor(&self, incarnation: &Incarnation) -> Option<Successor> {
+    fn successor(&self, incarnation: &Incarnation) -> Option<Replacement> {
         let worker = self.workers.get(incarnation.id()).filter(|w| !w.gone);
         let Some(worker) = worker else {
-            return Some(Successor::Other);
+            return Some(Replacement::Other);
         };
-        let start = worker.listing.start;
-        (start != incarnation.start()).then_some(Successor::Restarted(start))
+        let start = worker.listing.started_at;
+        (start != incarnation.start()).then_some(Replacement::Restarted(start))
     }
 
     /// Handles a connection on which another incarnation answers; that one accepts the owner's fencing token.
-    fn replace(&mut self, at: usize, incarnation: &Incarnation, by: Successor) {
+    fn replace(&mut self, at: usize, incarnation: &Incarnation, by: Replacement) {
         let (now, fence) = (self.now, self.owners[at].cell.fence);
-        if matches!(by, Successor::Restarted(_))
+        if matches!(by, Replacement::Restarted(_))
             && let Some(worker) = self.workers.get_mut(incarnation.id())
             && worker.hold(fence, 0, None, now, &mut self.judge).is_err()
         {
@@ -234,10 +238,10 @@
                 cell.stop_replied(worker, *task, *run, outcome, now)
             }
             Order::Throttle { worker, task, run, percent } => {
-                if outcome != Outcome::Replied(Told::Done) {
+                if outcome != Outcome::Replied(OrderReply::Done) {
                     cell.limit_unconfirmed(worker, *task, *run, *percent);
                 }
-                outcome == Outcome::Replied(Told::Fenced)
+                outcome == Outcome::Replied(OrderReply::Fenced)
             }
         };
         self.owners[at].deposed |= fenced;
--- a/crates/owner/tests/common/crash.rs
+++ b/crates/owner/tests/common/crash.rs
@@ -75,7 +75,7 @@
         let now = self.now;
         if let Some(worker) = self.workers.get_mut(id) {
             worker.listed = true;
-            worker.listing.written = now;
+            worker.listing.offset = now;
         }
     }
 
--- a/crates/owner/tests/common/jobs.rs
+++ b/crates/owner/tests/common/jobs.rs
@@ -1,16 +1,16 @@
 //! Default jobs and policies for tests.
 
 use myrtle_base::Room;
-use myrtle_job::{Ended, How, JobSpec, Policy, StepSpec, TaskId};
+use myrtle_job::{EndReason, EndedRun, JobSpec, Policy, StepSpec, TaskId};
 
 /// The policy of a queue with three attempts per task.
 pub fn policy() -> Policy {
     Policy {
         queue: "q".into(),
         service: "s".into(),
-        attempts: 3,
+        max_failures: 3,
         stretch: 2.0,
-        slack: 1_000,
+        slack_ms: 1_000,
         ..Policy::default()
     }
 }
@@ -20,7 +20,7 @@
     StepSpec {
         count,
         room: Room { cpu: 2_000, mem: 1_000, accel: 0 },
-        estimate: 1_000,
+        estimate_ms: 1_000,
         ..StepSpec::default()
     }
 }
@@ -31,6 +31,6 @@
 }
 
 /// The reported end of a run, without a checkpoint.
-pub fn ended(number: u64, task: TaskId, run: u32, how: How) -> Ended {
-    Ended { number, task, run, how, saved: String::new() }
+pub fn ended(number: u64, task: TaskId, run: u32, how: EndReason) -> EndedRun {
+    EndedRun { seq: number, task, run, reason: how, checkpoint: String::new() }
 }
--- a/crates/owner/tests/common/judge.rs
+++ b/crates/owner/tests/common/judge.rs
@@ -54,13 +54,13 @@
         let submission = &self.jobs[&task.job];
         let spec = &submission.spec.steps[usize::from(task.step)];
         let on = self.running.entry(task).or_default();
-        if !on.is_empty() && !spec.copies {
+        if !on.is_empty() && !spec.speculative {
             self.broken.push(format!("{now}: {task} runs on {on:?} and {worker}"));
         }
         on.insert(worker.clone());
         self.since.insert((task, worker.clone()), now);
         self.begun.entry(task).or_default().push(now);
-        let grace = if spec.copies { COPY_GRACE } else { 0 };
+        let grace = if spec.speculative { COPY_GRACE } else { 0 };
         if self.noted.get(&task).is_some_and(|at| now >= at + grace) {
             self.broken.push(format!("{now}: {task} starts after its end was recorded"));
         }
@@ -76,7 +76,7 @@
             }
         }
         if let Some(repeat) = submission.spec.repeat {
-            let due = repeat.first + u64::from(task.round) * repeat.every;
+            let due = repeat.first_at + u64::from(task.round) * repeat.interval_ms;
             if now < due {
                 self.broken.push(format!("{now}: {task} starts before {due}"));
             }
@@ -135,8 +135,8 @@
             let of_task = self.failed.iter().filter(|((t, _), (_, noted))| t == *task && *noted);
             let mut ends: Vec<u64> = of_task.map(|(_, (at, _))| *at).collect();
             ends.sort_unstable();
-            let last = ends.get(policy.attempts.max(1) as usize - 1);
-            let long_running = self.step(**task).lasting;
+            let last = ends.get(policy.max_failures.max(1) as usize - 1);
+            let long_running = self.step(**task).long_running;
             !long_running && last.is_some_and(|last| starts.iter().any(|start| start > last))
         });
         over.map(|(task, _)| *task).collect()
--- a/crates/owner/tests/common/mod.rs
+++ b/crates/owner/tests/common/mod.rs
@@ -85,13 +85,13 @@
         address: ([10, 0, 0, 1], 1000 + address).into(),
         data_centre: "d".into(),
         draining: false,
-        remaining: None,
+        remaining_ms: None,
         room: Room { cpu: 32_000, mem: 128_000, accel: 0 },
         labels: vec!["a".into(), format!("r{}", address / 4)],
         machine: Some(format!("m{address}")),
-        written: 1,
-        cold: 0,
-        start: 0,
+        offset: 1,
+        warmup_ms: 0,
+        started_at: 0,
     }
 }
 
@@ -188,13 +188,13 @@
     /// incarnation of that one.
     pub fn add_worker(&mut self, id: &str, address: u16) {
         let start = EPOCH + self.now - self.set_back;
-        let listing = Listing { written: self.now, start, ..listing(address) };
+        let listing = Listing { offset: self.now, started_at: start, ..listing(address) };
         self.workers.insert(id.into(), FakeWorker::new(listing, self.now));
     }
 
     /// The current incarnation of a worker.
     pub fn life(&self, id: &str) -> Incarnation {
-        Incarnation::new(id, self.workers[id].listing.start)
+        Incarnation::new(id, self.workers[id].listing.started_at)
     }
 
     /// Starts a new owner, which reads the log; earlier ones go on until they are deposed.
@@ -274,7 +274,7 @@
 
     /// Removes the start times of workers from the log, as it was written before they existed.
     pub fn forget_starts(&mut self) {
-        let without_start = |incarnation: &Incarnation| incarnation.started(0);
+        let without_start = |incarnation: &Incarnation| incarnation.with_start(0);
         let traces = std::mem::take(&mut self.traces);
         self.traces = traces
             .into_iter()
@@ -283,7 +283,7 @@
         for bytes in self.progress.values_mut() {
             let mut progress: Progress = decode(bytes).unwrap();
             let steps = progress.rounds.values_mut().flat_map(|round| &mut round.steps);
-            let runs = steps.flat_map(|step| &mut step.tasks).flat_map(|task| &mut task.live);
+            let runs = steps.flat_map(|step| &mut step.tasks).flat_map(|task| &mut task.active);
             runs.for_each(|run| run.worker = without_start(&run.worker));
             *bytes = encode(&progress);
         }
@@ -291,7 +291,7 @@
 
     /// Submits a job.
     pub fn submit(&mut self, spec: JobSpec) -> JobId {
-        self.submit_as(spec, Policy { attempts: 3, ..policy() })
+        self.submit_as(spec, Policy { max_failures: 3, ..policy() })
     }
 
     /// Submits a job to a queue with its own policy.
@@ -299,7 +299,7 @@
         let id = JobId(self.next);
         self.next += 1;
         spec.check().unwrap();
-        let submission = Submission { policy, spec, taken: self.now };
+        let submission = Submission { policy, spec, accepted_at: self.now };
         self.judge.job(id, &submission);
         self.jobs.insert(id, submission.clone());
         let now = self.now;
--- a/crates/owner/tests/common/worker.rs
+++ b/crates/owner/tests/common/worker.rs
@@ -4,7 +4,7 @@
 use std::sync::Arc;
 
 use myrtle_base::Room;
-use myrtle_job::{Ended, Held, How, Listing, Running, StepSpec, TaskId, Told};
+use myrtle_job::{EndReason, EndedRun, Listing, OrderReply, Running, StepSpec, TaskId, WorkerRuns};
 
 use super::Judge;
 
@@ -54,7 +54,7 @@
     until: u64,
     last: u64,
     runs: BTreeMap<TaskId, FakeRun>,
-    ends: Vec<Ended>,
+    ends: Vec<EndedRun>,
     /// The number of runs that ended; ends are numbered from 1 in each incarnation.
     count: u64,
     /// The highest run of each task that has ended or was stopped, and may not start any more.
@@ -150,7 +150,7 @@
     pub fn break_off(&mut self, step: TaskId, judge: &mut Judge) {
         let of_step = |t: &TaskId| (t.job, t.round, t.step) == (step.job, step.round, step.step);
         let members: Vec<_> = self.runs.keys().copied().filter(of_step).collect();
-        members.into_iter().for_each(|t| self.end(t, How::Broken, judge));
+        members.into_iter().for_each(|t| self.end(t, EndReason::GangEnded, judge));
     }
 
     /// Every task that runs here.
@@ -174,16 +174,16 @@
         }
         if self.clock(now) > self.until && !self.runs.is_empty() {
             let tasks: Vec<_> = self.runs.keys().copied().collect();
-            tasks.into_iter().for_each(|t| self.end(t, How::Lapsed, judge));
+            tasks.into_iter().for_each(|t| self.end(t, EndReason::Lapsed, judge));
         }
         let mut ended = Vec::new();
         for (&task, run) in &mut self.runs {
             if self.failing {
-                ended.push((task, How::Failed));
+                ended.push((task, EndReason::Failed));
             } else if !self.hanging {
                 run.worked += passed * u64::from(run.limit) / 100;
                 if run.worked >= run.work && !run.long_running {
-                    ended.push((task, How::Done));
+                    ended.push((task, EndReason::Done));
                 }
             }
         }
@@ -198,9 +198,9 @@
         until: Option<u64>,
         now: u64,
         judge: &mut Judge,
-    ) -> Result<Held, Told> {
+    ) -> Result<WorkerRuns, OrderReply> {
         if fence < self.fence {
-            return Err(Told::Fenced);
+            return Err(OrderReply::Fenced);
         }
         self.fence = fence;
         if seen > self.count {
@@ -210,27 +210,27 @@
         }
         let clock = self.clock(now);
         self.lease(until.unwrap_or(0), clock, judge);
-        for end in self.ends.iter().filter(|e| e.number <= seen) {
-            match end.how {
-                How::Done => judge.noted(end.task, now),
-                How::Failed => judge.noted_failed(end.task, end.run),
+        for end in self.ends.iter().filter(|e| e.seq <= seen) {
+            match end.reason {
+                EndReason::Done => judge.noted(end.task, now),
+                EndReason::Failed => judge.noted_failed(end.task, end.run),
                 _ => {}
             }
         }
-        self.ends.retain(|e| e.number > seen);
+        self.ends.retain(|e| e.seq > seen);
         let running = self.runs.iter().map(|(&task, r)| Running {
             task,
             run: r.number,
-            saved: String::new(),
+            checkpoint: String::new(),
             percent: if r.long_running { 100.0 } else { (r.worked * 100 / r.work.max(1)) as f64 },
-            figure: Some(match r.long_running {
+            metric: Some(match r.long_running {
                 true => self.tail.unwrap_or(r.figure),
                 false => r.figure * f64::from(r.limit) / 100.0,
             }),
         });
-        Ok(Held {
-            start: self.listing.start,
-            clock,
+        Ok(WorkerRuns {
+            started_at: self.listing.started_at,
+            clock_ms: clock,
             running: running.collect(),
             ended: self.ends.clone(),
         })
@@ -253,83 +253,89 @@
         (fence, until): (u64, u64),
         now: u64,
         judge: &mut Judge,
-    ) -> Told {
+    ) -> OrderReply {
         if fence < self.fence {
-            return Told::Fenced;
+            return OrderReply::Fenced;
         }
         self.fence = fence;
         let clock = self.clock(now);
         if until <= clock {
-            return Told::Late;
+            return OrderReply::LeaseEnded;
         }
         self.lease(until, clock, judge);
         if self.runs.get(&task).is_some_and(|r| r.number == run) {
-            return Told::Done;
+            return OrderReply::Done;
         }
         if self.max_ended.get(&task).is_some_and(|&max| run <= max) || self.runs.contains_key(&task)
         {
-            return Told::Old;
+            return OrderReply::OutdatedRun;
         }
         let used = self.runs.values().fold(Room::default(), |sum, r| sum + r.room);
-        if !self.unguarded && !spec.claim().fits(&self.listing.room.less(&used)) {
-            return Told::Full;
+        if !self.unguarded && !spec.claim().fits(&self.listing.room.minus(&used)) {
+            return OrderReply::NoRoom;
         }
-        if self.unguarded && !spec.claim().fits(&self.limit(now).less(&used)) {
+        if self.unguarded && !spec.claim().fits(&self.limit(now).minus(&used)) {
             judge.broken.push(format!("{now}: {task} takes {} over its room", self.name));
         }
         let started = FakeRun {
             number: run,
             room: spec.claim(),
-            work: spec.estimate,
+            work: spec.estimate_ms,
             worked: 0,
-            long_running: spec.lasting,
+            long_running: spec.long_running,
             limit: 100,
-            figure: if spec.target.is_some() { 40.0 } else { f64::from(spec.room.cpu) },
+            figure: if spec.target_ms.is_some() { 40.0 } else { f64::from(spec.room.cpu) },
         };
         self.runs.insert(task, started);
         self.ever += 1;
         judge.begun(&self.name, task, now);
-        Told::Done
+        OrderReply::Done
     }
 
     /// Stops a run, and prevents it from starting later.
-    pub fn stop(&mut self, task: TaskId, run: u32, fence: u64, judge: &mut Judge) -> Told {
+    pub fn stop(&mut self, task: TaskId, run: u32, fence: u64, judge: &mut Judge) -> OrderReply {
         if fence < self.fence {
-            return Told::Fenced;
+            return OrderReply::Fenced;
         }
         self.fence = fence;
         if self.runs.get(&task).is_some_and(|r| r.number == run) {
-            self.end(task, How::Stopped, judge);
+            self.end(task, EndReason::Stopped, judge);
         }
         let max = self.max_ended.entry(task).or_default();
         *max = (*max).max(run);
-        Told::Done
+        OrderReply::Done
     }
 
     /// Sets the speed limit of a run.
-    pub fn pace(&mut self, task: TaskId, run: u32, percent: u32, fence: u64) -> Told {
+    pub fn pace(&mut self, task: TaskId, run: u32, percent: u32, fence: u64) -> OrderReply {
         if fence < self.fence {
-            return Told::Fenced;
+            return OrderReply::Fenced;
         }
         if let Some(r) = self.runs.get_mut(&task).filter(|r| r.number == run) {
             r.limit = percent;
         }
-        Told::Done
+        OrderReply::Done
     }
 
     /// Ends a run.
-    fn end(&mut self, task: TaskId, how: How, judge: &mut Judge) {
+    fn end(&mut self, task: TaskId, how: EndReason, judge: &mut Judge) {
         let Some(run) = self.runs.remove(&task) else {
             return;
         };
         let max = self.max_ended.entry(task).or_default();
         *max = (*max).max(run.number);
-        judge.over(&self.name, task, how == How::Done);
-        if how == How::Failed {
+        judge.over(&self.name, task, how == EndReason::Done);
+        if how == EndReason::Failed {
             judge.failed(task, run.number, self.last);
         }
         self.count += 1;
         let number = self.count;
-        self.ends.push(Ended { number, task, run: run.number, how, saved: String::new() });
+        self.ends.push(EndedRun {
+            seq: number,
+            task,
+            run: run.number,
+            reason: how,
+            checkpoint: String::new(),
+        });
     }
 }
--- a/crates/owner/tests/crash_courses.rs
+++ b/crates/owner/tests/crash_courses.rs
@@ -76,11 +76,11 @@
 fn kind(rng: &mut ChaCha8Rng) -> StepSpec {
     let count = rng.random_range(1..8);
     let estimate = rng.random_range(300..2_700);
-    let plain = StepSpec { estimate, ..step(count) };
+    let plain = StepSpec { estimate_ms: estimate, ..step(count) };
     match rng.random_range(0..6) {
-        0 => StepSpec { lasting: true, ..plain },
+        0 => StepSpec { long_running: true, ..plain },
         1 => StepSpec { filler: true, ..plain },
-        2 => StepSpec { copies: true, ..plain },
+        2 => StepSpec { speculative: true, ..plain },
         3 => StepSpec { gang: true, ..plain },
         _ => plain,
     }
@@ -100,14 +100,16 @@
     world.run(2_000);
     let mut events = draw(&mut rng).into_iter().peekable();
     let (mut culprits, mut sound) = (Vec::new(), Vec::new());
-    sound.push(world.submit(job(vec![StepSpec { lasting: true, ..step(10) }])));
+    sound.push(world.submit(job(vec![StepSpec { long_running: true, ..step(10) }])));
     let began = world.now;
     while world.now < began + FAULTY {
         while let Some((_, event)) = events.next_if(|(at, _)| began + at <= world.now) {
             apply(&mut world, event, &mut culprits, delays, &mut rng);
         }
         let estimate = rng.random_range(300..2_700);
-        sound.push(world.submit(job(vec![StepSpec { estimate, ..step(workers as u16) }])));
+        sound.push(
+            world.submit(job(vec![StepSpec { estimate_ms: estimate, ..step(workers as u16) }])),
+        );
         world.run(rng.random_range(100..500));
     }
     world.run(REST);
@@ -116,7 +118,7 @@
     let ended = sound.iter().filter(|id| cell.state(**id) == Some(State::Failed));
     let (over_limit, failed): (Vec<JobId>, Vec<JobId>) = ended.copied().partition(|id| {
         let crashes = &cell.jobs[id].progress.crashes;
-        crashes.values().any(|c| u32::from(c.seen) >= LIMIT)
+        crashes.values().any(|c| u32::from(c.losses) >= LIMIT)
     });
     let open = culprits.iter().filter(|(id, _)| cell.state(*id) != Some(State::Failed));
     let open: Vec<TaskId> = open.map(|(_, task)| *task).collect();
--- a/crates/owner/tests/crashing.rs
+++ b/crates/owner/tests/crashing.rs
@@ -85,7 +85,7 @@
 });
 
 case!(a_long_running_culprit_is_given_up, world, {
-    let culprit = submit_culprit(&mut world, StepSpec { lasting: true, ..step(6) }, 10);
+    let culprit = submit_culprit(&mut world, StepSpec { long_running: true, ..step(6) }, 10);
     let others = run_busy(&mut world, 30_000);
     check(&mut world, culprit, &others);
 });
@@ -103,7 +103,7 @@
 });
 
 case!(a_culprit_that_may_have_copies_is_given_up, world, {
-    let culprit = submit_culprit(&mut world, StepSpec { copies: true, ..step(6) }, 10);
+    let culprit = submit_culprit(&mut world, StepSpec { speculative: true, ..step(6) }, 10);
     let others = run_busy(&mut world, 30_000);
     check(&mut world, culprit, &others);
 });
@@ -124,7 +124,7 @@
 });
 
 case!(no_task_is_given_up_if_all_workers_lose_power_three_times_in_a_row, world, {
-    let long_running = world.submit(job(vec![StepSpec { lasting: true, ..step(8) }]));
+    let long_running = world.submit(job(vec![StepSpec { long_running: true, ..step(8) }]));
     let mut others = Vec::new();
     for _ in 0..3 {
         others.extend(run_busy(&mut world, 4_000));
@@ -139,7 +139,7 @@
 });
 
 case!(a_task_whose_workers_are_cut_off_repeatedly_is_not_given_up, world, {
-    let id = world.submit(job(vec![StepSpec { estimate: 60_000, ..step(1) }]));
+    let id = world.submit(job(vec![StepSpec { estimate_ms: 60_000, ..step(1) }]));
     let task = TaskId { job: id, round: 0, step: 0, index: 0 };
     for _ in 0..7 {
         let up = |world: &World| {
@@ -162,7 +162,7 @@
 });
 
 case!(a_task_is_trusted_again_after_a_long_run, world, {
-    let id = world.submit(job(vec![StepSpec { lasting: true, ..step(1) }]));
+    let id = world.submit(job(vec![StepSpec { long_running: true, ..step(1) }]));
     let task = TaskId { job: id, round: 0, step: 0, index: 0 };
     for _ in 0..8 {
         world.run(16_000);
--- a/crates/owner/tests/evacuated.rs
+++ b/crates/owner/tests/evacuated.rs
@@ -45,7 +45,7 @@
 }
 
 case!(active_runs_go_on_and_new_ones_start_elsewhere, world, {
-    let long_running = world.submit(job(vec![StepSpec { lasting: true, ..step(24) }]));
+    let long_running = world.submit(job(vec![StepSpec { long_running: true, ..step(24) }]));
     world.run(3_000);
     let before = runs(&world, "x");
     assert!(before > 0);
@@ -88,19 +88,19 @@
 case!(cold_workers_get_only_tasks_without_room_elsewhere, world, {
     let cold = |world: &mut World, millis| {
         let workers = world.workers.values_mut().filter(|w| w.listing.data_centre == "x");
-        workers.for_each(|w| w.listing.cold = millis);
+        workers.for_each(|w| w.listing.warmup_ms = millis);
     };
     cold(&mut world, 60_000);
     world.run(100);
-    world.submit(job(vec![StepSpec { estimate: 20_000, ..step(64) }]));
+    world.submit(job(vec![StepSpec { estimate_ms: 20_000, ..step(64) }]));
     world.run(1_000);
     assert_eq!(runs(&world, "x"), 0);
-    world.submit(job(vec![StepSpec { estimate: 20_000, ..step(80) }]));
+    world.submit(job(vec![StepSpec { estimate_ms: 20_000, ..step(80) }]));
     world.run(1_000);
     assert_eq!(runs(&world, "x"), 16);
     cold(&mut world, 0);
     world.run(20_000);
-    world.submit(job(vec![StepSpec { estimate: 20_000, ..step(48) }]));
+    world.submit(job(vec![StepSpec { estimate_ms: 20_000, ..step(48) }]));
     world.run(1_000);
     assert!(runs(&world, "x") > 12, "it gets its share once it is warm");
 });
@@ -109,11 +109,11 @@
 fn kind(rng: &mut ChaCha8Rng) -> StepSpec {
     let count = rng.random_range(1..16);
     let estimate = rng.random_range(200..2_500);
-    let plain = StepSpec { estimate, ..step(count) };
+    let plain = StepSpec { estimate_ms: estimate, ..step(count) };
     match rng.random_range(0..6) {
-        0 => StepSpec { lasting: true, ..plain },
+        0 => StepSpec { long_running: true, ..plain },
         1 => StepSpec { filler: true, ..plain },
-        2 => StepSpec { copies: true, ..plain },
+        2 => StepSpec { speculative: true, ..plain },
         3 => StepSpec { gang: true, ..plain },
         _ => plain,
     }
@@ -137,14 +137,14 @@
                 world.crash(&id);
             }
             9 => {
-                let repeat = Repeat { count: 3, first: world.now + 500, every: 700 };
+                let repeat = Repeat { count: 3, first_at: world.now + 500, interval_ms: 700 };
                 let spec = job(vec![step(4)]);
                 jobs.push(world.submit(myrtle_job::JobSpec { repeat: Some(repeat), ..spec }));
             }
             _ => {
                 let first = kind(&mut rng);
                 let next = StepSpec { after: vec![0], ..step(3) };
-                let steps = if first.lasting { vec![first] } else { vec![first, next] };
+                let steps = if first.long_running { vec![first] } else { vec![first, next] };
                 jobs.push(world.submit(job(steps)));
             }
         }
@@ -156,13 +156,16 @@
     let cell = &world.owner().cell;
     for id in jobs {
         let job = &cell.jobs[&id];
-        let lost = job.progress.crashes.values().map(|c| c.seen).max().unwrap_or(0);
+        let lost = job.progress.crashes.values().map(|c| c.losses).max().unwrap_or(0);
         match job.logged_state {
             State::Completed => {}
             // The platform gives a task up after two crashed workers at the earliest.
             State::Failed => assert!(lost >= 2, "seed {seed}: {id} failed without cause"),
             state => {
-                assert!(job.submission.spec.lasts(), "seed {seed}: {id} is {state} still");
+                assert!(
+                    job.submission.spec.has_long_running(),
+                    "seed {seed}: {id} is {state} still"
+                );
                 assert_eq!(job.waiting(id), 0, "seed {seed}: {id} has waiting tasks");
             }
         }
--- a/crates/owner/tests/interference.rs
+++ b/crates/owner/tests/interference.rs
@@ -85,9 +85,9 @@
 fn serving(image: &str, count: u16) -> StepSpec {
     StepSpec {
         room: Room { cpu: 6_000, mem: 4_000, accel: 0 },
-        lasting: true,
+        long_running: true,
         image: Some(image.into()),
-        target: Some(TARGET),
+        target_ms: Some(TARGET),
         ..step(count)
     }
 }
@@ -95,10 +95,10 @@
 fn filler(image: &str, count: u16) -> StepSpec {
     StepSpec {
         room: Room { cpu: 3_000, mem: 4_000, accel: 0 },
-        estimate: 60_000,
+        estimate_ms: 60_000,
         image: Some(image.into()),
         filler: true,
-        saves: true,
+        has_checkpoints: true,
         ..step(count)
     }
 }
@@ -158,7 +158,7 @@
     for _ in 0..3 {
         world.workers.values_mut().for_each(|w| w.tail = Some(60.0));
         world.run(5_000);
-        world.submit(job(vec![StepSpec { estimate: 1_000, ..filler("f", 2) }]));
+        world.submit(job(vec![StepSpec { estimate_ms: 1_000, ..filler("f", 2) }]));
     }
     for look in 0..32 {
         let tail = if look % 8 == 7 { 146.0 } else { 152.0 + f64::from(look % 3) };
--- a/crates/owner/tests/lease_waits.rs
+++ b/crates/owner/tests/lease_waits.rs
@@ -93,12 +93,12 @@
 
 /// Separate long-running tasks.
 fn long_running() -> StepSpec {
-    StepSpec { lasting: true, ..separate() }
+    StepSpec { long_running: true, ..separate() }
 }
 
 /// Separate tasks that would end before the first change of owner.
 fn short() -> StepSpec {
-    StepSpec { estimate: 3_000, ..separate() }
+    StepSpec { estimate_ms: 3_000, ..separate() }
 }
 
 case!(successive_owners_wait_for_a_crashed_worker_once, world, {
@@ -185,7 +185,7 @@
 
 /// Separate tasks that run for longer than a lease.
 fn long() -> StepSpec {
-    StepSpec { estimate: 60_000, ..separate() }
+    StepSpec { estimate_ms: 60_000, ..separate() }
 }
 
 case!(no_run_doubles_on_a_worker_cut_off_from_successive_owners, world, {
@@ -289,12 +289,12 @@
     a_wait_that_was_over_restarts_with_new_runs,
     world,
     {
-        let (worker, _) = start_slow(&mut world, StepSpec { estimate: 3_000, ..separate() });
+        let (worker, _) = start_slow(&mut world, StepSpec { estimate_ms: 3_000, ..separate() });
         cut(&mut world, &worker, true);
         world.run(2 * LEASE);
         cut(&mut world, &worker, false);
         world.run(1_000);
-        world.submit(job(vec![StepSpec { estimate: 60_000, ..step(64) }]));
+        world.submit(job(vec![StepSpec { estimate_ms: 60_000, ..step(64) }]));
         world.run(1_000);
         let tasks = world.workers[&worker].tasks();
         assert!(!tasks.is_empty(), "the worker gets runs again");
--- a/crates/owner/tests/leaving.rs
+++ b/crates/owner/tests/leaving.rs
@@ -7,7 +7,7 @@
 
 /// Eight long-running tasks, one of which may be unavailable.
 fn long_running() -> StepSpec {
-    StepSpec { lasting: true, may_miss: Some(1), ..step(8) }
+    StepSpec { long_running: true, disruption_budget: Some(1), ..step(8) }
 }
 
 /// The worker with the most runs.
@@ -68,7 +68,7 @@
 
 case!(a_worker_without_an_entry_gets_no_new_runs_and_its_runs_go_on, world, {
     let mut slow = step(8);
-    slow.estimate = 20_000;
+    slow.estimate_ms = 20_000;
     let id = world.submit(job(vec![slow]));
     world.run(500);
     let gone = fullest(&world);
@@ -83,13 +83,13 @@
 
 case!(a_drain_that_takes_longer_than_announced_starts_no_task_twice, world, {
     let mut slow = step(8);
-    slow.estimate = 9_000;
+    slow.estimate_ms = 9_000;
     world.submit(job(vec![slow]));
     world.run(500);
     let leaving = fullest(&world);
     let worker = world.workers.get_mut(&leaving).unwrap();
     worker.listing.draining = true;
-    worker.listing.remaining = Some(2_000);
+    worker.listing.remaining_ms = Some(2_000);
     world.run(4_000);
     world.workers.get_mut(&leaving).unwrap().listed = false;
     assert!(world.finish(30_000));
@@ -115,7 +115,7 @@
 // runs there until all leases have expired. So the log holds the address of each worker that got work.
 case!(a_successor_stops_a_cancelled_job_on_a_worker_without_an_entry, world, {
     let mut slow = step(8);
-    slow.estimate = 60_000;
+    slow.estimate_ms = 60_000;
     let id = world.submit(job(vec![slow]));
     world.run(500);
     let leaving = fullest(&world);
@@ -130,7 +130,7 @@
 // As above, but the owner that ends has answered the cancellation, and its stops were lost.
 case!(a_successor_repeats_lost_stops_on_a_worker_without_an_entry, world, {
     let mut slow = step(8);
-    slow.estimate = 60_000;
+    slow.estimate_ms = 60_000;
     let id = world.submit(job(vec![slow]));
     world.run(500);
     let leaving = fullest(&world);
--- a/crates/owner/tests/leaving_known.rs
+++ b/crates/owner/tests/leaving_known.rs
@@ -18,7 +18,11 @@
 /// Starts eight long-running tasks, of which one may be unavailable, and returns the worker with the most of them.
 fn begin(world: &mut World) -> (JobId, Arc<str>) {
     world.run(4_000);
-    let id = world.submit(job(vec![StepSpec { lasting: true, may_miss: Some(1), ..step(8) }]));
+    let id = world.submit(job(vec![StepSpec {
+        long_running: true,
+        disruption_budget: Some(1),
+        ..step(8)
+    }]));
     world.run(1_000);
     let fullest = world.workers.iter().max_by_key(|(_, w)| w.count()).unwrap();
     assert!(fullest.1.count() >= 2);
@@ -42,7 +46,7 @@
 case!(a_worker_that_announced_leaving_has_not_crashed_for_the_successor, world, {
     let (id, leaving) = begin(&mut world);
     let listing = &mut world.workers.get_mut(&leaving).unwrap().listing;
-    (listing.draining, listing.remaining) = (true, Some(5_000));
+    (listing.draining, listing.remaining_ms) = (true, Some(5_000));
     world.run(200);
     lose(&mut world, &leaving);
     assert_eq!(suspected(&mut world, id), 0);
--- a/crates/owner/tests/missed_long.rs
+++ b/crates/owner/tests/missed_long.rs
@@ -95,7 +95,7 @@
     cells.run(100);
     cells.give_part(HOME, INCOMING, 1);
     cells.run(1_000);
-    let outgoing = |cells: &mut Cells| cells.owner(HOME).jobs[&INCOMING].progress.handed.len();
+    let outgoing = |cells: &mut Cells| cells.owner(HOME).jobs[&INCOMING].progress.outgoing.len();
     assert_eq!(outgoing(&mut cells), 0, "transferred by an old load report");
     cells.lossy = true;
     let now = cells.now;
--- a/crates/owner/tests/mutated.rs
+++ b/crates/owner/tests/mutated.rs
@@ -8,7 +8,8 @@
 
 use common::{World, job, listing, policy, step};
 use myrtle_job::{
-    Held, Incarnation, JobId, Part, PartId, Progress, StepSpec, Submission, decode, encode,
+    Incarnation, JobId, Progress, StepSpec, Submission, Transfer, TransferId, WorkerRuns, decode,
+    encode,
 };
 use myrtle_owner::{Cell, TimeLimits};
 
@@ -30,8 +31,8 @@
 
 /// A job of two steps, the second of them long-running.
 fn submission() -> Submission {
-    let second = StepSpec { lasting: true, after: vec![0], ..step(2) };
-    Submission { policy: policy(), spec: job(vec![step(3), second]), taken: 1 }
+    let second = StepSpec { long_running: true, after: vec![0], ..step(2) };
+    Submission { policy: policy(), spec: job(vec![step(3), second]), accepted_at: 1 }
 }
 
 /// The encoded progress of a running job.
@@ -48,7 +49,7 @@
 
 /// Lets a new owner with two workers recover a job from these records beside an intact one, and act for a while;
 /// returns the number of runs of the intact job.
-fn recover(progress: Option<Progress>, part: Option<Part>) -> usize {
+fn recover(progress: Option<Progress>, part: Option<Transfer>) -> usize {
     let mut cell = Cell::new(TimeLimits::default(), 2, 1_000);
     let (mutated, intact) = (JobId(1), JobId(2));
     cell.admit(mutated, submission(), 1_000, 1_000);
@@ -57,14 +58,14 @@
         cell.restore_progress(mutated, progress, 1_000);
     }
     if let Some(part) = part {
-        cell.receive_transfer(PartId { job: JobId(3), from: 1, number: 0 }, part, 1_000, 1_000);
+        cell.receive_transfer(TransferId { job: JobId(3), from: 1, number: 0 }, part, 1_000, 1_000);
     }
     cell.loaded = true;
     let workers = ["a", "b"].map(|id| Incarnation::new(id, 0));
     for now in (1_100..9_000).step_by(100) {
         for (n, incarnation) in workers.iter().enumerate() {
             cell.apply_listing(incarnation.id(), listing(n as u16), now);
-            let held = Held { clock: now, ..Held::default() };
+            let held = WorkerRuns { clock_ms: now, ..WorkerRuns::default() };
             cell.renewed(incarnation, held, now, now, now);
         }
         cell.expire(now);
@@ -96,11 +97,11 @@
         changes in prop::collection::vec((any::<usize>(), any::<u8>()), 0..4),
     ) {
         let task = |index| myrtle_job::TaskId { job: JobId(3), round: 0, step: 1, index };
-        let tasks = [0, 1].map(|i| myrtle_job::PartTask { task: task(i), last: 1, saved: "c".into() });
+        let tasks = [0, 1].map(|i| myrtle_job::TransferredTask { task: task(i), last_run: 1, checkpoint: "c".into() });
         let (allowances, crashes) = (vec![], vec![]);
-        let part = Part { submission: submission(), tasks: tasks.into(), allowances, crashes };
+        let part = Transfer { submission: submission(), tasks: tasks.into(), budgets : allowances, crashes };
         let bytes = mutate(&encode(&part), &changes, None);
-        prop_assert!(recover(None, Part::read(&bytes).ok()) > 0);
+        prop_assert!(recover(None, Transfer::read(&bytes).ok()) > 0);
     }
 
     #[test]
--- a/crates/owner/tests/pace.rs
+++ b/crates/owner/tests/pace.rs
@@ -30,18 +30,18 @@
         let mut world = World::new(1, 1);
         let serving = world.submit(job(vec![StepSpec {
             room: Room { cpu: 6_000, mem: 4_000, accel: 0 },
-            lasting: true,
+            long_running: true,
             image: Some("serving".into()),
-            target: Some(TARGET),
+            target_ms: Some(TARGET),
             ..step(4)
         }]));
         world.run(500);
         let filler = world.submit(job(vec![StepSpec {
             room: Room { cpu: FILLER_CPU, mem: 4_000, accel: 0 },
-            estimate: 600_000,
+            estimate_ms: 600_000,
             image: Some("filler".into()),
             filler: true,
-            saves: true,
+            has_checkpoints: true,
             ..step(fillers)
         }]));
         Self { world, serving, filler, fillers, coefficient }
--- a/crates/owner/tests/parts.rs
+++ b/crates/owner/tests/parts.rs
@@ -6,7 +6,7 @@
 
 mod cells;
 
-use myrtle_job::{Key, Load, Part, PartId, State, decode};
+use myrtle_job::{Key, Load, State, Transfer, TransferId, decode};
 
 use cells::{Cells, JOB, listing, owner, starts, stops};
 
@@ -23,7 +23,7 @@
 const THIRD: usize = 2;
 
 /// The id of the home cell's first outgoing transfer.
-const FIRST: PartId = PartId { job: JOB, from: HOME as u32, number: 0 };
+const FIRST: TransferId = TransferId { job: JOB, from: HOME as u32, number: 0 };
 
 /// Declares a test with cells of four workers each, of which one job fills the first.
 macro_rules! case {
@@ -53,7 +53,13 @@
 case!(tasks_stay_while_no_other_cell_has_a_worker_with_room, cells, 2, {
     cells.deaf = true;
     cells.leave(HOME, 0);
-    let full = Load { claimed: 0.0, size: 512_000.0, free: vec![], again: vec![], soon: vec![] };
+    let full = Load {
+        claimed: 0.0,
+        capacity: 512_000.0,
+        free: vec![],
+        restart_free: vec![],
+        soon_free: vec![],
+    };
     for _ in 0..TRANSFER_LIMIT / 100 {
         let now = cells.now;
         cells.owner(HOME).record_load(OTHER as u32, full.clone(), now);
@@ -76,8 +82,8 @@
     cell.committed(batch, now);
     let deliveries = cell.deliveries();
     assert_eq!(deliveries.len(), 1);
-    assert_eq!((deliveries[0].key, deliveries[0].to), (Key::Part(FIRST), OTHER as u32));
-    let transfer: Part = decode(&deliveries[0].record).unwrap();
+    assert_eq!((deliveries[0].key, deliveries[0].to), (Key::Transfer(FIRST), OTHER as u32));
+    let transfer: Transfer = decode(&deliveries[0].record).unwrap();
     assert_eq!(transfer.tasks.len(), 4);
 });
 
@@ -132,7 +138,7 @@
 case!(a_repeated_transfer_changes_nothing, cells, 2, {
     cells.leave(HOME, 0);
     cells.run(TRANSFER_LIMIT);
-    let transfer: Part = decode(&cells.records(OTHER)[0].1).unwrap();
+    let transfer: Transfer = decode(&cells.records(OTHER)[0].1).unwrap();
     let cell = cells.owner(OTHER);
     let before = cell.jobs[&JOB].progress.clone();
     cell.receive_transfer(FIRST, transfer, 9_000, 9_000);
@@ -143,7 +149,7 @@
 case!(a_transfer_after_the_end_of_its_job_starts_nothing, cells, 2, {
     cells.leave(HOME, 0);
     cells.run(TRANSFER_LIMIT);
-    let transfer: Part = decode(&cells.records(OTHER)[0].1).unwrap();
+    let transfer: Transfer = decode(&cells.records(OTHER)[0].1).unwrap();
     let mut late = owner(OTHER as u32, 9, 0);
     late.cancel_transferred(JOB, 10, 10);
     late.receive_transfer(FIRST, transfer, 20, 20);
@@ -188,16 +194,16 @@
     let cell = cells.owner(OTHER);
     cell.remove_expired(later, later);
     let batch = cell.batch();
-    assert_eq!(batch.removals, vec![Key::Part(FIRST), Key::Recall(FIRST)]);
+    assert_eq!(batch.removals, vec![Key::Transfer(FIRST), Key::Recall(FIRST)]);
     assert_eq!(batch.records, vec![(JOB, vec![])]);
 });
 
 #[test]
 fn draining_workers_add_no_room_to_the_load() {
     let mut cell = owner(0, 1, 0);
-    assert_eq!((cell.load(10).size, cell.load(10).free.len()), (128_000.0, 4));
+    assert_eq!((cell.load(10).capacity, cell.load(10).free.len()), (128_000.0, 4));
     cell.apply_listing("w0-0", listing(0, 0, true), 10);
-    assert_eq!((cell.load(10).size, cell.load(10).free.len()), (96_000.0, 3));
+    assert_eq!((cell.load(10).capacity, cell.load(10).free.len()), (96_000.0, 3));
 }
 
 /// Owners crash and deliveries are late, lost or repeated at any time: no two cells start the same run, and no task is
@@ -236,7 +242,7 @@
         assert_eq!(runs.len(), all, "seed {seed}: a run was started twice");
         let given_up = cells.owner(HOME).state(JOB) == Some(State::Failed);
         let jobs = (0..3).filter_map(|cell| cells.owner(cell).jobs.get(&JOB).cloned());
-        let lost = jobs.flat_map(|job| job.progress.crashes.into_values().map(|c| c.seen));
+        let lost = jobs.flat_map(|job| job.progress.crashes.into_values().map(|c| c.losses));
         let most = lost.max().unwrap_or_default();
         assert!(!given_up || most >= LOSSES, "seed {seed}: given up after {most} losses");
         let living = if given_up { 0 } else { 16 };
--- a/crates/owner/tests/placing.rs
+++ b/crates/owner/tests/placing.rs
@@ -20,7 +20,7 @@
 
 case!(tasks_of_a_step_are_spread_and_required_labels_are_respected, world, {
     let mut spread = step(4);
-    spread.spread = 1;
+    spread.worker_limit = 1;
     world.submit(job(vec![spread]));
     let mut labelled = step(1);
     labelled.requires = Some("absent".into());
@@ -55,13 +55,13 @@
 
 case!(long_running_tasks_move_off_a_draining_worker_within_their_disruption_budget, world, {
     let mut spec = step(8);
-    spec.lasting = true;
-    spec.may_miss = Some(1);
+    spec.long_running = true;
+    spec.disruption_budget = Some(1);
     world.submit(job(vec![spec]));
     world.run(1_000);
     let first = world.workers.iter().find(|(_, w)| w.count() > 1).unwrap().0.clone();
     world.workers.get_mut(&first).unwrap().listing.draining = true;
-    world.workers.get_mut(&first).unwrap().listing.remaining = Some(4_000);
+    world.workers.get_mut(&first).unwrap().listing.remaining_ms = Some(4_000);
     let mut least = 8;
     for _ in 0..200 {
         world.run(10);
@@ -91,7 +91,7 @@
 
 case!(a_repeated_job_starts_at_its_scheduled_times, world, {
     let mut spec = job(vec![step(1)]);
-    spec.repeat = Some(Repeat { first: world.now + 2_000, every: 3_000, count: 3 });
+    spec.repeat = Some(Repeat { first_at: world.now + 2_000, interval_ms: 3_000, count: 3 });
     let id = world.submit(spec);
     assert!(world.finish(12_000));
     assert_eq!(world.judge.starts.len(), 3);
--- a/crates/owner/tests/promises.rs
+++ b/crates/owner/tests/promises.rs
@@ -7,7 +7,7 @@
 use rand::RngExt;
 use rstest::rstest;
 
-use myrtle_job::{How, JobId, State, TaskId, Told};
+use myrtle_job::{EndReason, JobId, OrderReply, State, TaskId};
 use myrtle_owner::{Order, Outcome};
 
 use common::jobs::ended;
@@ -60,7 +60,7 @@
 
 case!(a_cancelled_job_stays_so_at_a_takeover, world, {
     let mut long = step(4);
-    long.estimate = 60_000;
+    long.estimate_ms = 60_000;
     let id = world.submit(job(vec![long]));
     world.run(300);
     world.cancel(id);
@@ -83,12 +83,18 @@
 });
 
 case!(a_failure_told_to_two_owners_counts_once, world, {
-    let id = world.submit_as(job(vec![step(1)]), myrtle_job::Policy { attempts: 2, ..policy() });
+    let id =
+        world.submit_as(job(vec![step(1)]), myrtle_job::Policy { max_failures: 2, ..policy() });
     world.run(200);
     let busy = world.workers.iter().find(|(_, w)| w.count() > 0).unwrap().0.clone();
     let incarnation = world.life(&busy);
-    let (now, first) = (world.now, ended(900_000, task(id, 0, 0), 1, How::Failed));
-    let held = myrtle_job::Held { start: 0, clock: now, running: vec![], ended: vec![first] };
+    let (now, first) = (world.now, ended(900_000, task(id, 0, 0), 1, EndReason::Failed));
+    let held = myrtle_job::WorkerRuns {
+        started_at: 0,
+        clock_ms: now,
+        running: vec![],
+        ended: vec![first],
+    };
     let cell = &mut world.owner().cell;
     cell.renewed(&incarnation, held.clone(), now - 1, now, now);
     // The next owner inherits the record and hears of the same end.
@@ -109,7 +115,7 @@
     // Every first answer is lost; repeats are refused as old once the run has ended.
     world.faults = Faults { unanswered: 1.0, late: 0.0, ..Faults::default() };
     let mut quick = step(1);
-    quick.estimate = 100;
+    quick.estimate_ms = 100;
     let id = world.submit(job(vec![quick]));
     world.run(1_500);
     world.faults = Faults::default();
@@ -124,11 +130,11 @@
     world.run(50);
     let now = world.now;
     let cell = &mut world.owner().cell;
-    let live = cell.jobs[&id].progress.task(task(id, 0, 0)).unwrap().live[0].clone();
-    let old = Outcome::Replied(Told::Old);
+    let live = cell.jobs[&id].progress.task(task(id, 0, 0)).unwrap().active[0].clone();
+    let old = Outcome::Replied(OrderReply::OutdatedRun);
     cell.start_replied(&live.worker, task(id, 0, 0), live.number, Outcome::Unknown, now);
     cell.start_replied(&live.worker, task(id, 0, 0), live.number, old, now + 100);
-    assert_eq!(cell.jobs[&id].progress.task(task(id, 0, 0)).unwrap().live, vec![live]);
+    assert_eq!(cell.jobs[&id].progress.task(task(id, 0, 0)).unwrap().active, vec![live]);
 });
 
 case!(a_start_in_doubt_is_barred_before_the_task_goes_elsewhere, world, {
@@ -140,21 +146,21 @@
     let cell = &mut world.owner().cell;
     let (incarnation, run) = {
         let task = cell.jobs[&id].progress.task(task(id, 0, 0)).unwrap();
-        (task.live[0].worker.clone(), task.live[0].number)
+        (task.active[0].worker.clone(), task.active[0].number)
     };
-    let full = Outcome::Replied(Told::Full);
+    let full = Outcome::Replied(OrderReply::NoRoom);
     cell.start_replied(&incarnation, task(id, 0, 0), run, Outcome::Unknown, world_now);
     cell.start_replied(&incarnation, task(id, 0, 0), run, full, world_now + 100);
     let stops = cell.orders();
     assert!(stops.iter().any(|o| matches!(o, Order::Stop { .. })), "{stops:?}");
-    assert!(!cell.jobs[&id].progress.task(task(id, 0, 0)).unwrap().live.is_empty());
+    assert!(!cell.jobs[&id].progress.task(task(id, 0, 0)).unwrap().active.is_empty());
     world.faults = Faults::default();
     assert!(world.finish(20_000));
 });
 
 case!(a_silent_workers_tasks_go_elsewhere_only_after_its_lease, world, {
     let mut long = step(4);
-    long.estimate = 30_000;
+    long.estimate_ms = 30_000;
     world.submit(job(vec![long]));
     world.run(300);
     let (_, worker) = world.workers.iter_mut().find(|(_, w)| w.count() > 0).unwrap();
@@ -167,8 +173,8 @@
 
 case!(a_silent_workers_tasks_are_copied_at_once_where_that_is_allowed, world, {
     let mut copied = step(4);
-    copied.copies = true;
-    copied.estimate = 2_000;
+    copied.speculative = true;
+    copied.estimate_ms = 2_000;
     world.submit(job(vec![copied]));
     world.run(400);
     let (_, worker) = world.workers.iter_mut().find(|(_, w)| w.count() > 0).unwrap();
@@ -196,7 +202,7 @@
 
 case!(a_worker_reborn_at_its_address_is_known_to_be_gone_at_once, world, {
     let mut long = step(4);
-    long.estimate = 4_000;
+    long.estimate_ms = 4_000;
     world.submit(job(vec![long]));
     world.run(300);
     let busy = world.workers.iter().find(|(_, w)| w.count() > 0).unwrap().0.clone();
@@ -217,8 +223,8 @@
     world.faults = Faults { queued: 0.4, ..Faults::default() };
     for round in 0..40 {
         let mut copied = step(6);
-        copied.copies = true;
-        copied.estimate = 400;
+        copied.speculative = true;
+        copied.estimate_ms = 400;
         let id = world.submit(job(vec![copied, step(2)]));
         world.run(100);
         // A worker that is silent for a moment lets its tasks be copied.
@@ -245,7 +251,7 @@
     for round in 0..60 {
         let mut second = step(2);
         second.after = vec![0];
-        second.estimate = 400;
+        second.estimate_ms = 400;
         world.submit(job(vec![step(3), second]));
         world.run(400);
         let at = world.rng.random_range(0..world.workers.len());
--- a/crates/owner/tests/ranks.rs
+++ b/crates/owner/tests/ranks.rs
@@ -11,13 +11,13 @@
     for n in 0..160 {
         let mut spec = step(if n % 2 == 0 { 24 } else { 4 });
         spec.room.cpu = 4_000;
-        spec.estimate = 1_000;
+        spec.estimate_ms = 1_000;
         ids.push((world.now, world.submit(job(vec![spec]))));
         world.run(100);
     }
     assert!(world.finish(120_000));
     let cell = &world.owner().cell;
-    let ended_at = |id| cell.jobs[&id].progress.ended;
+    let ended_at = |id| cell.jobs[&id].progress.ended_at;
     ids.iter()
         .filter(|(submitted_at, id)| ended_at(*id) - submitted_at <= cell.jobs[id].objective())
         .count()
--- a/crates/owner/tests/reach.rs
+++ b/crates/owner/tests/reach.rs
@@ -2,7 +2,7 @@
 
 mod common;
 
-use myrtle_job::{JobId, State, StepSpec, Successor};
+use myrtle_job::{JobId, Replacement, State, StepSpec};
 use myrtle_owner::Presence;
 
 use common::{case, job, step};
@@ -41,11 +41,11 @@
         let old = format!("z{n}");
         world.add_worker(&old, n);
         let worker = world.workers.get_mut(&*old).unwrap();
-        worker.listing.written = 1;
+        worker.listing.offset = 1;
         worker.gone = true;
     }
     let mut long = step(4);
-    long.estimate = 4_000;
+    long.estimate_ms = 4_000;
     world.submit(job(vec![long]));
     world.run(300);
     world.take_over();
@@ -56,7 +56,7 @@
 // Fault: an owner forgets a job that still has an active run. If the run counts as requested because its worker lists it,
 // each lease renewal keeps it going for good; so it is stopped like a run of a job that is over.
 case!(a_run_of_a_forgotten_job_is_stopped, world, {
-    let id = world.submit(job(vec![StepSpec { lasting: true, ..step(2) }]));
+    let id = world.submit(job(vec![StepSpec { long_running: true, ..step(2) }]));
     world.run(1_000);
     world.owner().cell.jobs.remove(&id);
     world.run(1_000);
@@ -68,11 +68,11 @@
 // lease of 10 s though their worker is gone; if every later one counts, tasks run twice. So the owner asks which
 // incarnation replies at the address, again and again until one does.
 case!(a_silent_incarnation_is_gone_once_another_replies_at_its_address, world, {
-    world.submit(job(vec![StepSpec { estimate: 5_000, ..step(8) }]));
+    world.submit(job(vec![StepSpec { estimate_ms: 5_000, ..step(8) }]));
     world.run(200);
     let (now, first) = (world.now, world.life("w0"));
     let mut listing = world.workers["w0"].listing.clone();
-    listing.written += 1;
+    listing.offset += 1;
     let cell = &mut world.owner().cell;
     let runs = cell.workers[&first].active_runs.len();
     cell.apply_listing("x0", listing, now);
@@ -88,7 +88,7 @@
         "its runs may still be active"
     );
     assert!(cell.renewal_args(&first, now).is_some(), "it is asked again");
-    cell.replaced(&first, Successor::Other, now);
+    cell.replaced(&first, Replacement::Other, now);
     assert_eq!(cell.workers[&first].presence, Presence::Gone);
     assert_eq!(cell.workers[&first].active_runs.len(), 0);
 });
--- a/crates/owner/tests/reserve.rs
+++ b/crates/owner/tests/reserve.rs
@@ -27,15 +27,15 @@
 
 /// A step of long-running tasks of 8 cores.
 fn long_running(count: u16) -> StepSpec {
-    StepSpec { lasting: true, room: Room { cpu: 8_000, ..step(count).room }, ..step(count) }
+    StepSpec { long_running: true, room: Room { cpu: 8_000, ..step(count).room }, ..step(count) }
 }
 
 /// Submits short jobs for 24 s, which use 0.16 of the cell.
 fn submit_short(world: &mut World, priority: u32) {
     let room = Room { cpu: 16_000, ..step(2).room };
-    let short = StepSpec { room, estimate: 1_000, ..step(2) };
+    let short = StepSpec { room, estimate_ms: 1_000, ..step(2) };
     for _ in 0..30 {
-        world.submit_as(job(vec![short.clone()]), Policy { priority, attempts: 3, ..policy() });
+        world.submit_as(job(vec![short.clone()]), Policy { priority, max_failures: 3, ..policy() });
         world.run(800);
     }
 }
--- a/crates/owner/tests/restart_courses.rs
+++ b/crates/owner/tests/restart_courses.rs
@@ -70,11 +70,12 @@
 
 /// A step of any kind that clients hand in.
 fn kind(rng: &mut ChaCha8Rng) -> StepSpec {
-    let plain = StepSpec { estimate: rng.random_range(100..3_000), ..step(rng.random_range(1..8)) };
+    let plain =
+        StepSpec { estimate_ms: rng.random_range(100..3_000), ..step(rng.random_range(1..8)) };
     match rng.random_range(0..6) {
-        0 => StepSpec { lasting: true, ..plain },
+        0 => StepSpec { long_running: true, ..plain },
         1 => StepSpec { filler: true, ..plain },
-        2 => StepSpec { copies: true, ..plain },
+        2 => StepSpec { speculative: true, ..plain },
         3 => StepSpec { gang: true, ..plain },
         _ => plain,
     }
@@ -85,13 +86,13 @@
     let mut steps = vec![kind(rng)];
     for before in 0..rng.random_range(0..3u16) {
         // Nothing comes after a step that lasts.
-        if steps.iter().any(|s| s.lasting) {
+        if steps.iter().any(|s| s.long_running) {
             break;
         }
         steps.push(StepSpec { after: vec![before], ..kind(rng) });
     }
-    let lasts = steps.iter().any(|s| s.lasting);
-    let id = world.submit_as(job(steps), Policy { attempts: 3, ..policy() });
+    let lasts = steps.iter().any(|s| s.long_running);
+    let id = world.submit_as(job(steps), Policy { max_failures: 3, ..policy() });
     (id, lasts)
 }
 
@@ -196,9 +197,15 @@
             broken.push(format!("{id} is not known"));
             continue;
         };
-        let lost = job.progress.crashes.values().any(|c| c.seen >= LOSSES || c.doubts >= 3);
-        let failed = job.progress.tasks().any(|(.., t)| t.failed.len() >= 3)
-            || job.progress.rounds.values().flat_map(|r| &r.steps).any(|s| s.failed.len() >= 3);
+        let lost =
+            job.progress.crashes.values().any(|c| c.losses >= LOSSES || c.suspect_losses >= 3);
+        let failed = job.progress.tasks().any(|(.., t)| t.failed_runs.len() >= 3)
+            || job
+                .progress
+                .rounds
+                .values()
+                .flat_map(|r| &r.steps)
+                .any(|s| s.failed_runs.len() >= 3);
         let state = cell.state(*id);
         let well =
             state == Some(State::Completed) || state == Some(State::Failed) && (lost || failed);
--- a/crates/owner/tests/restarts.rs
+++ b/crates/owner/tests/restarts.rs
@@ -22,7 +22,7 @@
 
 use common::jobs::ended;
 use common::{Faults, World, job, step};
-use myrtle_job::{Held, How, JobId, State, StepSpec, TaskId};
+use myrtle_job::{EndReason, JobId, State, StepSpec, TaskId, WorkerRuns};
 use myrtle_owner::UncertainRuns;
 
 /// How long workers are away, in milliseconds.
@@ -51,8 +51,8 @@
 /// Lets time pass while jobs of two steps come, five a second; their names.
 fn busy(world: &mut World, millis: u64) -> Vec<JobId> {
     let submit = |world: &mut World| {
-        let second = StepSpec { after: vec![0], estimate: 300, ..step(2) };
-        let id = world.submit(job(vec![StepSpec { estimate: 500, ..step(4) }, second]));
+        let second = StepSpec { after: vec![0], estimate_ms: 300, ..step(2) };
+        let id = world.submit(job(vec![StepSpec { estimate_ms: 500, ..step(4) }, second]));
         world.run(200);
         id
     };
@@ -98,7 +98,7 @@
 case!(a_step_begins_once_those_before_it_have_ended_well, world, {
     restart_all(&mut world);
     world.run(AWAY + 100);
-    let (first, second) = (StepSpec { estimate: 4_000, ..step(4) }, step(2));
+    let (first, second) = (StepSpec { estimate_ms: 4_000, ..step(4) }, step(2));
     let id = world.submit(job(vec![first, StepSpec { after: vec![0], ..second }]));
     let task = |step, index| TaskId { job: id, round: 0, step, index };
     let began = world.now;
@@ -125,7 +125,7 @@
 // there, and what runs there would run twice.
 case!(an_old_entry_with_a_later_start_says_nothing_of_the_one_that_is_there, world, {
     world.set_back = 30_000;
-    let long = StepSpec { estimate: 4_000, ..step(8) };
+    let long = StepSpec { estimate_ms: 4_000, ..step(8) };
     for id in world.workers.keys().cloned().collect::<Vec<_>>() {
         let old = world.workers[&id].listing.clone();
         world.restart(&id, AWAY);
@@ -140,7 +140,7 @@
 
 case!(what_ran_on_a_worker_that_came_back_behind_a_cut_goes_on_elsewhere_at_once, world, {
     world.run(5_000);
-    let id = world.submit(job(vec![StepSpec { estimate: 3_000, ..step(1) }]));
+    let id = world.submit(job(vec![StepSpec { estimate_ms: 3_000, ..step(1) }]));
     world.run(200);
     let busy = world.workers.iter().find(|(_, w)| w.count() > 0).unwrap().0.clone();
     world.cut(0, &busy, true);
@@ -150,21 +150,21 @@
 });
 
 case!(an_answer_of_another_incarnation_says_nothing_of_this_ones_runs, world, {
-    let id = world.submit(job(vec![StepSpec { estimate: 3_000, ..step(1) }]));
+    let id = world.submit(job(vec![StepSpec { estimate_ms: 3_000, ..step(1) }]));
     world.run(200);
     let task = TaskId { job: id, round: 0, step: 0, index: 0 };
     let busy = world.workers.iter().find(|(_, w)| w.runs(task)).unwrap().0.clone();
     let (now, incarnation) = (world.now, world.life(&busy));
     let number = world.owner().cell.workers[&incarnation].received_ends + 1;
     let start = incarnation.start() + 1_000;
-    let ended = vec![ended(number, task, 1, How::Failed)];
-    let held = Held { start, clock: 5, running: vec![], ended };
+    let ended = vec![ended(number, task, 1, EndReason::Failed)];
+    let held = WorkerRuns { started_at: start, clock_ms: 5, running: vec![], ended };
     let cell = &mut world.owner().cell;
     cell.renewed(&incarnation, held, now - 1, now, now);
-    assert!(cell.jobs[&id].progress.task(task).unwrap().failed.is_empty());
+    assert!(cell.jobs[&id].progress.task(task).unwrap().failed_runs.is_empty());
     assert!(!cell.workers.contains_key(&incarnation), "it is over");
     assert!(
-        cell.workers[&incarnation.started(start)].clock.is_none(),
+        cell.workers[&incarnation.with_start(start)].clock.is_none(),
         "the next one is still to be asked"
     );
 });
@@ -182,7 +182,7 @@
 // Records of before name workers by their ids only. Taken for incarnations that are over, their runs would be
 // counted as lost and start again.
 case!(what_the_log_holds_by_ids_only_is_of_the_worker_that_is_there, world, {
-    let id = world.submit(job(vec![StepSpec { estimate: 4_000, ..step(8) }]));
+    let id = world.submit(job(vec![StepSpec { estimate_ms: 4_000, ..step(8) }]));
     world.run(500);
     world.owner().awake = false;
     world.forget_starts();
--- a/crates/owner/tests/rooms.rs
+++ b/crates/owner/tests/rooms.rs
@@ -41,7 +41,7 @@
     let mut world = unguarded(1);
     (0..WORKERS).for_each(|worker| resize(&mut world, worker, 4));
     world.run(500);
-    world.submit(job(vec![StepSpec { estimate: 20_000, ..step(24) }]));
+    world.submit(job(vec![StepSpec { estimate_ms: 20_000, ..step(24) }]));
     world.run(1_500);
     assert_eq!((0..WORKERS).map(|worker| runs(&world, worker)).sum::<usize>(), 12);
     resize(&mut world, 0, 32);
@@ -53,10 +53,10 @@
 #[test]
 fn room_that_shrinks_takes_no_runs_until_enough_have_ended() {
     let mut world = unguarded(2);
-    world.submit(job(vec![StepSpec { estimate: 6_000, ..step(48) }]));
+    world.submit(job(vec![StepSpec { estimate_ms: 6_000, ..step(48) }]));
     world.run(1_000);
     (0..WORKERS).for_each(|worker| resize(&mut world, worker, 8));
-    world.submit(job(vec![StepSpec { estimate: 1_000, ..step(24) }]));
+    world.submit(job(vec![StepSpec { estimate_ms: 1_000, ..step(24) }]));
     assert!(world.finish(30_000));
     assert_eq!(world.judge.broken, Vec::<String>::new());
 }
@@ -66,7 +66,7 @@
 fn runs_placed_before_the_room_shrank_do_not_start_beyond_it() {
     let mut world = unguarded(3);
     world.owner().logged = false;
-    world.submit(job(vec![StepSpec { estimate: 1_000, ..step(24) }]));
+    world.submit(job(vec![StepSpec { estimate_ms: 1_000, ..step(24) }]));
     world.run(200);
     (0..WORKERS).for_each(|worker| resize(&mut world, worker, 2));
     world.run(6_000);
@@ -91,7 +91,11 @@
             _ => {
                 let estimate = rng.random_range(200..3_000);
                 let long_running = rng.random_bool(0.05);
-                world.submit(job(vec![StepSpec { estimate, lasting: long_running, ..step(12) }]));
+                world.submit(job(vec![StepSpec {
+                    estimate_ms: estimate,
+                    long_running,
+                    ..step(12)
+                }]));
             }
         }
         world.run(rng.random_range(50..900));
--- a/crates/owner/tests/slices.rs
+++ b/crates/owner/tests/slices.rs
@@ -8,7 +8,7 @@
 mod common;
 
 use myrtle_base::Room;
-use myrtle_job::{Held, Incarnation, JobId, Policy, StepSpec, Submission};
+use myrtle_job::{Incarnation, JobId, Policy, StepSpec, Submission, WorkerRuns};
 use myrtle_owner::{Cell, Presence, TimeLimits};
 
 use common::{job, listing, policy, step};
@@ -32,7 +32,7 @@
     for n in 0..WORKERS {
         let incarnation = Incarnation::new(format!("w{n}"), 0);
         cell.apply_listing(incarnation.id(), listing(n), 1_000);
-        let held = Held { start: 0, clock: 1_000, running: vec![], ended: vec![] };
+        let held = WorkerRuns { started_at: 0, clock_ms: 1_000, running: vec![], ended: vec![] };
         cell.renewed(&incarnation, held, 1_000, 1_000, 1_000);
     }
     cell
@@ -41,8 +41,8 @@
 /// Admits a job of tasks with `cores` each; every step differs, so that a failed search for one doesn't settle the others.
 fn admit(cell: &mut Cell, id: u64, cores: f64, submitted_at: u64) {
     let room = Room::new(cores, 100, 0);
-    let step = StepSpec { room, spread: 1, estimate: 1_000 + id, ..step(TASKS) };
-    let submission = Submission { policy: policy(), spec: job(vec![step]), taken: 0 };
+    let step = StepSpec { room, worker_limit: 1, estimate_ms: 1_000 + id, ..step(TASKS) };
+    let submission = Submission { policy: policy(), spec: job(vec![step]), accepted_at: 0 };
     cell.admit(JobId(id), submission, submitted_at, submitted_at);
 }
 
@@ -98,7 +98,7 @@
 fn assert_pass_ends(cell: &mut Cell, now: u64) {
     let before = placed(cell);
     let later = Policy { priority: 1, ..policy() };
-    let submission = Submission { policy: later, spec: job(vec![step(1)]), taken: 0 };
+    let submission = Submission { policy: later, spec: job(vec![step(1)]), accepted_at: 0 };
     cell.admit(JobId(1_000), submission, now, now);
     let ends = (0..MAX_SLICES).any(|_| !cell.plan(now));
     assert!(placed(cell) > before, "the job behind was never planned");
@@ -107,7 +107,7 @@
 
 /// Admits a job of the earliest submission time, so that it is planned first.
 fn admit_steps(cell: &mut Cell, id: u64, steps: Vec<StepSpec>) {
-    let submission = Submission { policy: policy(), spec: job(steps), taken: 0 };
+    let submission = Submission { policy: policy(), spec: job(steps), accepted_at: 0 };
     cell.admit(JobId(id), submission, 1_000, 1_000);
 }
 
@@ -115,7 +115,8 @@
 fn steps_that_do_not_fit_do_not_block_others() {
     let mut cell = cell();
     let room = Room::new(33.0, 100, 0);
-    let steps = (0..60).map(|_| StepSpec { room, spread: 1, estimate: 1, ..step(1) }).collect();
+    let steps =
+        (0..60).map(|_| StepSpec { room, worker_limit: 1, estimate_ms: 1, ..step(1) }).collect();
     admit_steps(&mut cell, 1, steps);
     assert_pass_ends(&mut cell, 1_100);
 }
@@ -124,12 +125,12 @@
 fn a_gang_that_does_not_fit_does_not_block_others() {
     let mut cell = cell();
     let spread =
-        |count, cores| StepSpec { room: Room::new(cores, 100, 0), spread: 1, ..step(count) };
+        |count, cores| StepSpec { room: Room::new(cores, 100, 0), worker_limit: 1, ..step(count) };
     admit_steps(&mut cell, 1, vec![spread(WORKERS - 80, 20.0)]);
     while cell.plan(1_050) {}
     assert_eq!(placed(&cell), usize::from(WORKERS) - 80);
-    let gang = StepSpec { gang: true, estimate: 1, ..spread(100, 20.0) };
-    let after = StepSpec { estimate: 1, ..spread(1, 33.0) };
+    let gang = StepSpec { gang: true, estimate_ms: 1, ..spread(100, 20.0) };
+    let after = StepSpec { estimate_ms: 1, ..spread(1, 33.0) };
     admit_steps(&mut cell, 2, vec![gang, after]);
     assert_pass_ends(&mut cell, 1_100);
 }
@@ -138,7 +139,7 @@
 fn copies_that_do_not_fit_do_not_block_others() {
     let mut cell = cell();
     let room = Room::new(30.0, 100, 0);
-    let copied = StepSpec { room, copies: true, estimate: 1, ..step(WORKERS) };
+    let copied = StepSpec { room, speculative: true, estimate_ms: 1, ..step(WORKERS) };
     admit_steps(&mut cell, 1, vec![copied]);
     while cell.plan(1_050) {}
     assert_eq!(placed(&cell), usize::from(WORKERS));
--- a/crates/owner/tests/starved.rs
+++ b/crates/owner/tests/starved.rs
@@ -26,9 +26,9 @@
     let mut world = World::new(3, 4);
     let serving = StepSpec {
         room: Room { cpu: 6_000, mem: 4_000, accel: 0 },
-        lasting: true,
+        long_running: true,
         image: Some("serving".into()),
-        target: Some(TARGET),
+        target_ms: Some(TARGET),
         ..step(20)
     };
     world.submit(job(vec![serving]));
@@ -41,10 +41,10 @@
 fn filler(count: u16, after: &[u16]) -> StepSpec {
     StepSpec {
         room: Room { cpu: 8_000, mem: 4_000, accel: 0 },
-        estimate: 30_000,
+        estimate_ms: 30_000,
         image: Some("filling".into()),
         filler: true,
-        saves: true,
+        has_checkpoints: true,
         after: after.to_vec(),
         ..step(count)
     }
--- a/crates/owner/tests/stopped_late.rs
+++ b/crates/owner/tests/stopped_late.rs
@@ -29,7 +29,7 @@
 }
 
 fn long_running(count: u16) -> StepSpec {
-    StepSpec { lasting: true, may_miss: Some(1), ..step(count) }
+    StepSpec { long_running: true, disruption_budget: Some(1), ..step(count) }
 }
 
 /// The number of active runs of a job.
@@ -82,7 +82,7 @@
         let id = staying.max_by_key(|(_, w)| w.count()).map(|(id, _)| id.clone())?;
         let worker = self.world.workers.get_mut(&id)?;
         worker.listing.draining = true;
-        worker.listing.remaining = Some(DRAIN);
+        worker.listing.remaining_ms = Some(DRAIN);
         Some(id)
     }
 
--- a/crates/owner/tests/takeover_courses.rs
+++ b/crates/owner/tests/takeover_courses.rs
@@ -45,7 +45,7 @@
 fn submit(world: &mut World, rng: &mut ChaCha8Rng) -> Vec<JobId> {
     let steps = |rng: &mut ChaCha8Rng| {
         let estimate = rng.random_range(200..6_000);
-        vec![StepSpec { estimate, ..step(rng.random_range(1..8)) }]
+        vec![StepSpec { estimate_ms: estimate, ..step(rng.random_range(1..8)) }]
     };
     (0..8).map(|_| world.submit(job(steps(rng)))).collect()
 }
--- a/crates/owner/tests/takeovers.rs
+++ b/crates/owner/tests/takeovers.rs
@@ -15,7 +15,7 @@
 /// Starts a long job on the workers that are there once a crashed one has restarted.
 fn start_job(world: &mut World) -> JobId {
     world.run(RESTART);
-    let id = world.submit(job(vec![StepSpec { estimate: 6_000, ..step(4) }]));
+    let id = world.submit(job(vec![StepSpec { estimate_ms: 6_000, ..step(4) }]));
     world.run(500);
     id
 }
@@ -76,7 +76,7 @@
 #[test]
 fn runs_of_a_replaced_worker_restart_once_its_replacement_replies() {
     let mut world = World::new(7, 2);
-    let id = world.submit(job(vec![StepSpec { estimate: 2_000, ..step(8) }]));
+    let id = world.submit(job(vec![StepSpec { estimate_ms: 2_000, ..step(8) }]));
     world.run(300);
     world.crash(&"w0".into());
     world.owner().awake = false;
@@ -99,7 +99,7 @@
     world.owner().awake = false;
     world.take_over();
     world.run(500);
-    old.written = world.now;
+    old.offset = world.now;
     world.stale.insert("w0".into(), (world.now + 2_000, old));
     assert_ran_once(&mut world, id);
 }
--- a/crates/owner/tests/tickets_and_waves.rs
+++ b/crates/owner/tests/tickets_and_waves.rs
@@ -4,15 +4,15 @@
 
 use std::collections::BTreeSet;
 
-use myrtle_job::{Advice, StepSpec};
+use myrtle_job::{StepSpec, TicketTimes};
 use myrtle_owner::{Maintenance, Wave};
 
 use common::{World, job, policy, step};
 
 /// A policy with advice.
 fn advised() -> myrtle_job::Policy {
-    let advice = Some(Advice { base: 10, each: 1, valid: 3_000 });
-    myrtle_job::Policy { advice, ..policy() }
+    let advice = Some(TicketTimes { call_ms: 10, worker_ms: 1, valid_ms: 3_000 });
+    myrtle_job::Policy { ticket_times: advice, ..policy() }
 }
 
 #[test]
@@ -79,8 +79,8 @@
 fn a_wave_takes_its_machines_down_a_few_at_a_time() {
     let mut world = World::new(5, 4);
     let mut long_running = step(6);
-    long_running.lasting = true;
-    long_running.may_miss = Some(1);
+    long_running.long_running = true;
+    long_running.disruption_budget = Some(1);
     world.submit(job(vec![long_running]));
     world.run(1_000);
     let machines: Vec<String> = (0..4).map(|n| format!("m{n}")).collect();
@@ -123,7 +123,7 @@
 #[test]
 fn a_worker_that_restarts_before_maintenance_gets_no_new_runs() {
     let mut world = World::new(5, 2);
-    let long = StepSpec { estimate: 3_000, ..step(8) };
+    let long = StepSpec { estimate_ms: 3_000, ..step(8) };
     world.submit(job(vec![long.clone()]));
     world.run(500);
     let wave = Wave { number: 1, machines: vec!["m0".into()], duration: 60_000, limit: 1 };
--- a/crates/owner/tests/transfers.rs
+++ b/crates/owner/tests/transfers.rs
@@ -3,7 +3,7 @@
 mod cells;
 
 use myrtle_base::Room;
-use myrtle_job::{Held, Incarnation, JobId, Listing, Load, StepSpec, TaskId};
+use myrtle_job::{Incarnation, JobId, Listing, Load, StepSpec, TaskId, WorkerRuns};
 
 use cells::{Cells, JOB, listing, starts, step, stops};
 
@@ -41,7 +41,7 @@
 /// workers of both cells leave at once: each cell counts the other's tasks as running and would use the whole budget.
 #[test]
 fn both_cells_together_keep_the_disruption_budget() {
-    let mut cells = Cells::of(2, vec![StepSpec { may_miss: Some(2), ..step() }]);
+    let mut cells = Cells::of(2, vec![StepSpec { disruption_budget: Some(2), ..step() }]);
     cells.deaf = false;
     cells.leave(HOME, 0);
     cells.run(30_000);
@@ -59,14 +59,14 @@
 /// announces when it leaves: the cell's share of the budget is zero, so it has to stop the tasks just before the end.
 #[test]
 fn a_cell_without_disruption_budget_moves_tasks_just_before_their_worker_ends() {
-    let mut cells = Cells::of(2, vec![StepSpec { may_miss: Some(1), ..step() }]);
+    let mut cells = Cells::of(2, vec![StepSpec { disruption_budget: Some(1), ..step() }]);
     cells.deaf = false;
     cells.leave(HOME, 0);
     cells.run(30_000);
     assert_eq!((cells.living(), starts(&cells.orders[OTHER]).len()), (16, 4));
     for worker in 0..4 {
         let now = cells.now;
-        let listing = Listing { remaining: Some(4_000), ..listing(OTHER, worker, true) };
+        let listing = Listing { remaining_ms: Some(4_000), ..listing(OTHER, worker, true) };
         cells.owner(OTHER).apply_listing(&format!("w{OTHER}-{worker}"), listing, now);
     }
     cells.run(2_000);
@@ -79,11 +79,11 @@
 #[test]
 fn the_budgets_of_all_cells_add_up_to_that_of_the_step() {
     for seed in 0..100 {
-        let mut cells = Cells::of(3, vec![StepSpec { may_miss: Some(5), ..step() }]);
+        let mut cells = Cells::of(3, vec![StepSpec { disruption_budget: Some(5), ..step() }]);
         cells.deaf = false;
         cells.chaos(seed);
         let budgets: Vec<u16> = (0..3)
-            .filter_map(|cell| Some(cells.owner(cell).jobs.get(&JOB)?.progress.allowance(0, 5)))
+            .filter_map(|cell| Some(cells.owner(cell).jobs.get(&JOB)?.progress.budget(0, 5)))
             .collect();
         assert_eq!(budgets.iter().sum::<u16>(), 5, "seed {seed}: {budgets:?}");
     }
@@ -93,7 +93,7 @@
 /// and a transfer does not say so, so the other cell must not wait for the earlier step.
 #[test]
 fn tasks_of_a_step_after_a_finished_one_run_in_another_cell() {
-    let first = StepSpec { count: 1, lasting: false, ..step() };
+    let first = StepSpec { count: 1, long_running: false, ..step() };
     let mut cells = Cells::of(2, vec![first, StepSpec { after: vec![0], ..step() }]);
     cells.finish(task(0, 0));
     cells.run(TRANSFERRED_WITHIN);
@@ -185,17 +185,17 @@
     let mut cells = Cells::full(2);
     let now = cells.now;
     let owner = cells.owner(OTHER);
-    for n in 0..Load::WORKERS as u16 {
-        let held = Held { start: 0, clock: now, running: vec![], ended: vec![] };
-        let id = Incarnation::new(format!("x{n}"), listing(OTHER, n, false).start);
+    for n in 0..Load::MAX_WORKERS as u16 {
+        let held = WorkerRuns { started_at: 0, clock_ms: now, running: vec![], ended: vec![] };
+        let id = Incarnation::new(format!("x{n}"), listing(OTHER, n, false).started_at);
         owner.apply_listing(id.id(), listing(OTHER, 10 + n, false), now);
         owner.renewed(&id, held, now, now, now);
     }
     let mut with = listing(OTHER, 99, false);
     with.room.cpu = 16_000;
     with.room.accel = 8;
-    let held = Held { start: 0, clock: now, running: vec![], ended: vec![] };
-    let id = Incarnation::new("gpu", with.start);
+    let held = WorkerRuns { started_at: 0, clock_ms: now, running: vec![], ended: vec![] };
+    let id = Incarnation::new("gpu", with.started_at);
     owner.apply_listing(id.id(), with, now);
     owner.renewed(&id, held, now, now, now);
     assert!(
--- a/crates/owner/tests/turns.rs
+++ b/crates/owner/tests/turns.rs
@@ -22,7 +22,7 @@
 /// A step of long-running tasks, of which each worker has room for one.
 fn long_running(count: u16) -> StepSpec {
     let room = Room { cpu: 24_000, mem: 1_000, accel: 0 };
-    StepSpec { room, lasting: true, ..step(count) }
+    StepSpec { room, long_running: true, ..step(count) }
 }
 
 /// The worker that runs a task, if there is one.
--- a/crates/owner/tests/turns_elsewhere.rs
+++ b/crates/owner/tests/turns_elsewhere.rs
@@ -53,7 +53,7 @@
 /// A step of tasks with `cores` each; short ones are estimated at 5 s.
 fn tasks(count: u16, cores: u32, long_running: bool) -> StepSpec {
     let room = Room { cpu: 1_000 * cores, mem: 1_000, accel: 0 };
-    StepSpec { count, room, lasting: long_running, estimate: 5_000, ..step() }
+    StepSpec { count, room, long_running, estimate_ms: 5_000, ..step() }
 }
 
 /// The tasks of a job that were started in a cell.
@@ -241,7 +241,7 @@
 #[test]
 fn tasks_that_wait_remotely_count_against_the_disruption_budget() {
     const BUDGET: u16 = 2;
-    let mut cells = Cells::of(2, vec![StepSpec { may_miss: Some(BUDGET), ..step() }]);
+    let mut cells = Cells::of(2, vec![StepSpec { disruption_budget: Some(BUDGET), ..step() }]);
     cells.lively = true;
     cells.deaf = false;
     fill(&mut cells, OTHER);
--- a/crates/owner/tests/unlogged.rs
+++ b/crates/owner/tests/unlogged.rs
@@ -16,7 +16,7 @@
 
 /// A step of one long-running task.
 fn long_running() -> StepSpec {
-    StepSpec { lasting: true, ..step(1) }
+    StepSpec { long_running: true, ..step(1) }
 }
 
 /// Starts a step; its job, one of its tasks, and the worker that runs it.
@@ -44,7 +44,7 @@
     let (_, task, worker) = start(&mut world, long_running());
     world.owner().logged = false;
     let listing = &mut world.workers.get_mut(&worker).unwrap().listing;
-    (listing.draining, listing.remaining) = (true, Some(1_000));
+    (listing.draining, listing.remaining_ms) = (true, Some(1_000));
     lose_ends(&mut world, &worker);
     assert!(!is_running(&world, task), "the next owner has not received the end yet");
     world.pass_on(0);
@@ -54,7 +54,7 @@
 });
 
 case!(the_next_owner_does_not_restart_completed_tasks, world, {
-    let (id, task, worker) = start(&mut world, StepSpec { estimate: 600, ..step(1) });
+    let (id, task, worker) = start(&mut world, StepSpec { estimate_ms: 600, ..step(1) });
     world.owner().logged = false;
     lose_ends(&mut world, &worker);
     world.pass_on(0);
@@ -67,7 +67,7 @@
     let (_, task, worker) = start(&mut world, long_running());
     world.owner().logged = false;
     let listing = &mut world.workers.get_mut(&worker).unwrap().listing;
-    (listing.draining, listing.remaining) = (true, Some(1_000));
+    (listing.draining, listing.remaining_ms) = (true, Some(1_000));
     lose_ends(&mut world, &worker);
     world.owner().logged = false;
     world.pass_on(0);
@@ -83,7 +83,7 @@
     let (_, task, worker) = start(&mut world, long_running());
     world.owner().logged = false;
     let listing = &mut world.workers.get_mut(&worker).unwrap().listing;
-    (listing.draining, listing.remaining) = (true, Some(1_000));
+    (listing.draining, listing.remaining_ms) = (true, Some(1_000));
     lose_ends(&mut world, &worker);
     world.pass_on(0);
     world.run(START_LIMIT);
@@ -94,7 +94,7 @@
 });
 
 case!(logged_ends_are_not_passed_on, world, {
-    let (id, ..) = start(&mut world, StepSpec { estimate: 600, ..step(1) });
+    let (id, ..) = start(&mut world, StepSpec { estimate_ms: 600, ..step(1) });
     world.run(1_000);
     assert_eq!(world.owner().cell.state(id), Some(State::Completed));
     assert!(world.owner().cell.unlogged().is_empty());
@@ -106,7 +106,7 @@
     world,
     {
         let room = Room { cpu: 20_000, mem: 1_000, accel: 0 };
-        let gang = StepSpec { gang: true, room, estimate: 60_000, ..step(2) };
+        let gang = StepSpec { gang: true, room, estimate_ms: 60_000, ..step(2) };
         let (_, task, worker) = start(&mut world, gang);
         world.owner().logged = false;
         world.workers.get_mut(&worker).unwrap().failing = true;
--- a/crates/owner/tests/wait_courses.rs
+++ b/crates/owner/tests/wait_courses.rs
@@ -71,11 +71,11 @@
     fn submit(&mut self) {
         for _ in 0..self.rng.random_range(0..4) {
             let estimate = self.rng.random_range(200..12_000);
-            let spec = StepSpec { estimate, ..step(self.rng.random_range(1..8)) };
+            let spec = StepSpec { estimate_ms: estimate, ..step(self.rng.random_range(1..8)) };
             self.short.push(self.world.submit(job(vec![spec])));
         }
         if self.long_running.len() < LONG_JOBS && self.rng.random_bool(0.6) {
-            let spec = StepSpec { lasting: true, ..step(self.rng.random_range(1..6)) };
+            let spec = StepSpec { long_running: true, ..step(self.rng.random_range(1..6)) };
             self.long_running.push(self.world.submit(job(vec![spec])));
         }
     }
@@ -106,7 +106,7 @@
                 let remaining = self.rng.random_range(500..4_000);
                 let listing = &mut self.world.workers.get_mut(&id).unwrap().listing;
                 listing.draining = true;
-                listing.remaining = Some(remaining);
+                listing.remaining_ms = Some(remaining);
                 self.leaving.push((now + remaining, id));
             }
         }
--- a/crates/peer/src/gate.rs
+++ b/crates/peer/src/gate.rs
@@ -4,7 +4,7 @@
 use uuid::Uuid;
 
 use myrtle_base::{Millis, Stamp};
-use myrtle_cell::Unit;
+use myrtle_cell::Resource;
 use myrtle_route::{Ask, Bucket, Decision, Ledger, Offer, SavedAnswer};
 
 /// A coordinator's reply to requests for allocations.
@@ -13,7 +13,7 @@
     /// The remaining time of the coordinator's own lease; no allocation outlives it.
     pub lease_left: Millis,
     /// Replies for those resources that the gate coordinates.
-    pub replies: Vec<(Unit, Offer)>,
+    pub replies: Vec<(Resource, Offer)>,
 }
 
 /// How a request with a key ended at the gate that ran it.
@@ -44,7 +44,7 @@
         gate: String,
         incarnation: u64,
         seq: u64,
-        asks: Vec<(Unit, Ask)>,
+        asks: Vec<(Resource, Ask)>,
     ) -> CoordinatorReply;
 
     /// Asks the coordinator of a key whether to run a request; forwarded once if another gate
@@ -58,5 +58,5 @@
     async fn stop() -> bool;
 
     /// Sends the state of a resource to its next coordinator; true if it was stored.
-    async fn receive(resource: Unit, from: String, state: ResourceState) -> bool;
+    async fn receive(resource: Resource, from: String, state: ResourceState) -> bool;
 }
--- a/crates/peer/src/link.rs
+++ b/crates/peer/src/link.rs
@@ -8,7 +8,7 @@
 use tarpc::context::{self, Context};
 use tokio::time::timeout;
 
-use myrtle_base::Doubt;
+use myrtle_base::SilenceDetector;
 
 use crate::transport::Connect;
 
@@ -28,7 +28,7 @@
 pub struct Link<C> {
     at: SocketAddr,
     connection: Mutex<Option<Connection<C>>>,
-    doubt: Mutex<Doubt>,
+    doubt: Mutex<SilenceDetector>,
     /// Locked while a connection is made; holds the time of the last failure.
     connecting: tokio::sync::Mutex<Option<Instant>>,
 }
@@ -49,13 +49,13 @@
 
 /// A call without an answer yet; if it is dropped, the connection is suspected to have gone silent.
 struct PendingCall<'a> {
-    doubt: &'a Mutex<Doubt>,
+    doubt: &'a Mutex<SilenceDetector>,
     number: u64,
 }
 
 impl Drop for PendingCall<'_> {
     fn drop(&mut self) {
-        lock(self.doubt).given_up(self.number, Instant::now());
+        lock(self.doubt).cancelled(self.number, Instant::now());
     }
 }
 
@@ -133,7 +133,7 @@
     /// The connection, unless it is in doubt or idle for too long.
     fn usable(&self) -> Option<Connection<C>> {
         let now = Instant::now();
-        let before = lock(&self.doubt).before(now);
+        let before = lock(&self.doubt).suspect_before(now);
         let connection = lock(&self.connection).clone()?;
         let suspect = before.is_some_and(|before| connection.last_used() < before);
         (!suspect && now < connection.last_used() + MAX_IDLE).then_some(connection)
--- a/crates/peer/src/sched.rs
+++ b/crates/peer/src/sched.rs
@@ -6,8 +6,8 @@
 use serde::{Deserialize, Serialize};
 
 use myrtle_base::{Millis, Stamp};
-use myrtle_cell::{Cell, Deny, Grant, Keep, Op, Subject, Unit};
-use myrtle_config::{Config, Scoped};
+use myrtle_cell::{Cell, Coordinator, Deny, Lease, LeaseHolder, Op, Resource};
+use myrtle_config::{Config, ScopeState};
 
 /// The health of a sched.
 #[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize)]
@@ -72,7 +72,7 @@
     /// The sender's causal clock.
     pub stamp: Stamp,
     /// The platform scope, if the gate has an older one.
-    pub platform: Option<Scoped>,
+    pub platform: Option<ScopeState>,
     /// A hash of `peering`.
     pub mark: u64,
     /// The coordinators, gates and upstreams; nothing if the gate has them.
@@ -85,7 +85,7 @@
     /// The offset of the fold that this is from; a gate ignores an older one.
     pub next: u64,
     /// The coordinators of resources.
-    pub units: BTreeMap<Unit, Keep>,
+    pub units: BTreeMap<Resource, Coordinator>,
     /// Gates of the data centre that are up, with their incarnations.
     pub gates: BTreeMap<String, u64>,
     /// The data centres and peer addresses of the gates of all data centres.
@@ -123,10 +123,10 @@
     async fn pulse(stamp: Stamp) -> Pulse;
 
     /// Asks for the promise that a lease may be renewed without the log.
-    async fn allow(subject: Subject) -> bool;
+    async fn allow(holder: LeaseHolder) -> bool;
 
-    /// Asks for the promise that a suspected subject's lease is not renewed.
-    async fn consent(subject: Subject, suspected: u64) -> bool;
+    /// Asks for the promise that a suspected holder's lease is not renewed.
+    async fn consent(holder: LeaseHolder, suspected: u64) -> bool;
 
     /// Returns the sched's whole state.
     async fn whole() -> Whole;
@@ -135,7 +135,7 @@
     async fn propose(stamp: Stamp, ops: Vec<Op>) -> Proposal;
 
     /// Renews a gate's lease; `clock` is the gate's.
-    async fn renew(gate: String, incarnation: u64, clock: Millis) -> Option<Grant>;
+    async fn renew(gate: String, incarnation: u64, clock: Millis) -> Option<Lease>;
 
     /// Returns to a gate what changed, after waiting up to `wait` for a change.
     async fn view(known: Known, wait: Millis) -> GateView;
--- a/crates/place/src/fleet.rs
+++ b/crates/place/src/fleet.rs
@@ -59,7 +59,7 @@
 
     /// The share of its room that is taken.
     pub fn used_share(&self) -> f64 {
-        self.room.less(&self.free).share(&self.room)
+        self.room.minus(&self.free).share(&self.room)
     }
 
     /// The share of its processors that a task of this room takes.
@@ -69,7 +69,7 @@
 
     /// Adds a task.
     pub fn add(&mut self, room: &Room, kind: u16) {
-        self.free = self.free.less(room);
+        self.free = self.free.minus(room);
         match self.kinds.iter_mut().find(|k| k.0 == kind) {
             Some(known) => known.1 += room.cpu,
             None => self.kinds.push((kind, room.cpu)),
--- a/crates/sched/src/admin.rs
+++ b/crates/sched/src/admin.rs
@@ -6,7 +6,7 @@
 use serde_json::{Value, json as value};
 
 use myrtle_base::Stamp;
-use myrtle_cell::{Op, State, TaskId, Why};
+use myrtle_cell::{Op, State, StopReason, TaskId};
 use myrtle_peer::Proposal;
 use myrtle_platform::{Answer, Ask, answer, json, text};
 
@@ -97,7 +97,7 @@
             value!({
                 "job": job.name,
                 "number": number,
-                "party": job.spec.party,
+                "party": job.spec.customer,
                 "class": job.spec.class,
                 "data_centre": tables.centre(),
                 "state": job.state.to_string(),
@@ -119,8 +119,8 @@
                 "has": w.room.to_string(),
                 "given": w.used.to_string(),
                 "health": format!("{:?}", w.health),
-                "leaving": w.leaving,
-                "aside": w.aside.is_some(),
+                "leaving": w.draining,
+                "aside": w.backoff_until.is_some(),
                 "tasks": w.tasks.len(),
             })
         };
@@ -136,10 +136,10 @@
         })
     };
     let used = tables.cell(|c| c.cell.usage.clone());
-    let row = |((party, class), used): (&(String, String), &myrtle_cell::Usage)| {
+    let row = |((customer, class), used): (&(String, String), &myrtle_cell::Usage)| {
         let price = price(class);
         value!({
-            "party": party,
+            "party": customer,
             "class": class,
             "data_centre": tables.centre(),
             "requests": used.requests,
@@ -207,10 +207,14 @@
     if task.state != State::Pending {
         return task.state.to_string();
     }
-    if cell.now < task.wait {
-        return format!("waits {} after failure {}", task.wait.since(cell.now), task.failures);
+    if cell.now < task.not_before {
+        return format!(
+            "waits {} after failure {}",
+            task.not_before.since(cell.now),
+            task.failures
+        );
     }
-    let up = cell.workers.iter().filter(|w| w.takes(cell.now));
+    let up = cell.workers.iter().filter(|w| w.accepts(cell.now));
     let fits = up.clone().filter(|w| job.room.fits(&w.free())).count();
     match (up.count(), fits) {
         (0, _) => "no worker takes tasks".into(),
@@ -263,7 +267,7 @@
 async fn evict(tables: &Tables, request: &Ask) -> Answer {
     let name = request.param("task").unwrap_or_default();
     let op = find(tables, name)
-        .and_then(|id| tables.cell(|c| crate::reports::evict(&c.cell, id, Why::Operator)));
+        .and_then(|id| tables.cell(|c| crate::reports::evict(&c.cell, id, StopReason::Operator)));
     let Some(op) = op else { return text(404, format!("'{name}' does not run here\n")) };
     verdict(tables, op, format!("task {name} evicted by an operator")).await
 }
--- a/crates/sched/src/balance.rs
+++ b/crates/sched/src/balance.rs
@@ -5,7 +5,7 @@
 //! evicted before the worker runs out of room.
 
 use myrtle_base::{Millis, Room};
-use myrtle_cell::{Cell, Job, Op, State, Task, TaskId, Why};
+use myrtle_cell::{Cell, Job, Op, State, StopReason, Task, TaskId};
 use myrtle_place::{Action, Learned, Neighbour, Relief, Sample};
 use myrtle_platform::{Throttle, UsageReport};
 
@@ -54,7 +54,7 @@
     result.ops.extend(pressure_op(cell, centre, number, usage));
     let Some(tail) = tail else { return result };
     let room = cell.workers[number as usize].room;
-    let share = |task: &Task| f64::from(task.given.cpu) / f64::from(room.cpu.max(1));
+    let share = |task: &Task| f64::from(task.reserved.cpu) / f64::from(room.cpu.max(1));
     let mut sample = Sample { service: SERVICE, shares: Vec::new(), tail_ratio: tail };
     for (_, task, job) in running(cell, number) {
         sample.shares.push((policy.kinds.number(&job.spec.kind), share(task)));
@@ -67,9 +67,13 @@
         neighbours.push(neighbour(cell, id, task, job, interference));
     }
     match relief.observe(tail, &neighbours) {
-        Some(Action::Throttle(id, percent)) => result.throttle = throttle(cell, centre, id, percent),
+        Some(Action::Throttle(id, percent)) => {
+            result.throttle = throttle(cell, centre, id, percent)
+        }
         Some(Action::Lift(id)) => result.throttle = throttle(cell, centre, id, 100),
-        Some(Action::Evict(id)) => result.ops.extend(evict(cell, unpack(id), Why::Interference)),
+        Some(Action::Evict(id)) => {
+            result.ops.extend(evict(cell, unpack(id), StopReason::Interference))
+        }
         None => {}
     }
     result
@@ -94,7 +98,8 @@
 /// Evicts the cheapest task of a worker that is about to run out of room, unless one is stopping.
 fn pressure_op(cell: &Cell, centre: &str, number: u32, usage: &UsageReport) -> Option<Op> {
     let used = usage.tasks.iter().fold(Room::default(), |sum, t| sum + t.room);
-    let stopping = cell.tasks_on(number).any(|(_, t, _)| matches!(t.state, State::Stopping(..)));
+    let stopping =
+        cell.worker_tasks(number).any(|(_, t, _)| matches!(t.state, State::Stopping(..)));
     if used.share(&cell.workers[number as usize].room) <= MAX_USE || stopping {
         return None;
     }
@@ -102,13 +107,13 @@
     let there = reported.filter(|id| cell.workers[number as usize].tasks.contains(id));
     let cheapest = there.min_by_key(|id| {
         let job = &cell.jobs[&id.job];
-        (job.spec.watcher(), job.spec.price, std::cmp::Reverse(cell.tasks[id].since))
+        (job.spec.long_running(), job.spec.price, std::cmp::Reverse(cell.tasks[id].since))
     })?;
-    evict(cell, cheapest, Why::Pressure)
+    evict(cell, cheapest, StopReason::Pressure)
 }
 
 fn running(cell: &Cell, number: u32) -> impl Iterator<Item = (TaskId, &Task, &Job)> {
-    cell.tasks_on(number).filter(|(_, t, _)| matches!(t.state, State::Running(_)))
+    cell.worker_tasks(number).filter(|(_, t, _)| matches!(t.state, State::Running(_)))
 }
 
 fn neighbour(cell: &Cell, id: TaskId, task: &Task, job: &Job, interference: f64) -> Neighbour {
@@ -118,7 +123,7 @@
         slowdown: interference,
         // Frequent checkpoints limit the loss, here to 60 s, even for a longer run.
         unsaved: cell.now.since(task.since).min(Millis(60_000)),
-        watcher: job.spec.watcher(),
+        watcher: job.spec.long_running(),
     }
 }
 
--- a/crates/sched/src/claims.rs
+++ b/crates/sched/src/claims.rs
@@ -3,7 +3,7 @@
 use std::collections::BTreeMap;
 
 use myrtle_base::Room;
-use myrtle_cell::{Cell, Health, Job, Op, State, TaskId, Why};
+use myrtle_cell::{Cell, Health, Job, Op, State, StopReason, TaskId};
 use myrtle_place::{Fleet, Machine, Placer, TaskRequest};
 
 /// Most claims proposed at once.
@@ -40,11 +40,11 @@
             free: worker.room,
             rack: *racks.entry(&worker.rack).or_insert(next),
             tail_ratio: tails.get(&(number as u32)).copied().unwrap_or_default(),
-            accepting: worker.health == Health::Up && worker.takes(cell.now),
+            accepting: worker.health == Health::Up && worker.accepts(cell.now),
             ..Machine::default()
         };
-        for (_, task, job) in cell.tasks_on(number as u32) {
-            machine.add(&task.given, kinds.number(&job.spec.kind));
+        for (_, task, job) in cell.worker_tasks(number as u32) {
+            machine.add(&task.reserved, kinds.number(&job.spec.kind));
         }
         machines.push(machine);
     }
@@ -60,18 +60,18 @@
 ) -> Vec<Op> {
     let mut ops = Vec::new();
     let mut misses = 0;
-    for (id, task, job) in cell.waiting() {
+    for (id, task, job) in cell.pending_tasks() {
         if ops.len() >= MAX_CLAIMS || misses >= MAX_MISSES {
             break;
         }
-        if cell.now < task.wait {
+        if cell.now < task.not_before {
             continue;
         }
         let request = TaskRequest {
             room: job.room,
             kind: kinds.number(&job.spec.kind),
-            avoid: job.doubtful().filter(|_| cell.workers.len() > 1).or(task.avoid),
-            urgent: job.spec.price > 0 && job.spec.watcher(),
+            avoid: job.sole_failure().filter(|_| cell.workers.len() > 1).or(task.failed_worker),
+            urgent: job.spec.price > 0 && job.spec.long_running(),
             group: id.job,
         };
         match placer.place(fleet, &request) {
@@ -93,7 +93,7 @@
 /// Makes room for the job on the worker where that costs least, unless a preemption is under way.
 fn preempt(cell: &Cell, job: &Job) -> Vec<Op> {
     let preempting =
-        cell.tasks.values().any(|t| matches!(t.state, State::Stopping(_, Why::Dearer)));
+        cell.tasks.values().any(|t| matches!(t.state, State::Stopping(_, StopReason::HigherPrice)));
     if preempting {
         return Vec::new();
     }
@@ -106,14 +106,14 @@
 /// Returns the price and the stops that make room for the job on one worker, if it can be made.
 fn preemption(cell: &Cell, number: u32, job: &Job) -> Option<(u64, Vec<Op>)> {
     let worker = &cell.workers[number as usize];
-    if worker.health != Health::Up || !worker.takes(cell.now) || !job.room.fits(&worker.room) {
+    if worker.health != Health::Up || !worker.accepts(cell.now) || !job.room.fits(&worker.room) {
         return None;
     }
     let limit = (f64::from(job.spec.price) * PREEMPT_RATIO) as u32;
     let mut cheap: Vec<(u32, TaskId, u16, Room)> = cell
-        .tasks_on(number)
+        .worker_tasks(number)
         .filter(|(_, t, j)| j.spec.price <= limit && matches!(t.state, State::Running(_)))
-        .map(|(id, t, j)| (j.spec.price, id, t.attempt, t.given))
+        .map(|(id, t, j)| (j.spec.price, id, t.attempt, t.reserved))
         .collect();
     cheap.sort_by_key(|c| c.0);
     let mut free = worker.free();
@@ -125,7 +125,7 @@
         }
         free += room;
         price += u64::from(cost) + 1;
-        ops.push(Op::Stop { task, attempt, why: Why::Dearer });
+        ops.push(Op::Stop { task, attempt, reason: StopReason::HigherPrice });
     }
     (job.room.fits(&free) && !ops.is_empty()).then_some((price, ops))
 }
--- a/crates/sched/src/duties.rs
+++ b/crates/sched/src/duties.rs
@@ -7,7 +7,7 @@
 use log::info;
 
 use myrtle_base::{GUARD, LEASE, Millis, winner};
-use myrtle_cell::{Cell, Health, JobState, Op, Spec, Subject, Unit};
+use myrtle_cell::{Cell, Health, JobState, LeaseHolder, Op, Resource, Spec};
 use myrtle_config::{Config, Desired, Job};
 use myrtle_peer::{GateSeen, Proposal};
 use myrtle_platform::{Host, Role};
@@ -130,14 +130,14 @@
 fn spec(platform: &Desired, job: &Job) -> Option<Spec> {
     let class = platform.classes.get(&job.class)?;
     Some(Spec {
-        party: job.party.clone(),
+        customer: job.customer.clone(),
         class: job.class.clone(),
         price: class.price.try_into().unwrap_or(u32::MAX),
         kind: job.kind.clone(),
         tasks: job.tasks,
         room: job.room(),
         run_time: job.run_time.map(|t| t.0),
-        when_cut: job.when_cut,
+        on_unreachable: job.on_unreachable,
         failures: job.failures,
     })
 }
@@ -152,44 +152,44 @@
     let upstreams = hosts
         .iter()
         .filter(|h| h.role == Role::Worker && h.data_centre == centre && !h.service.is_empty())
-        .map(|h| Unit::Upstream(h.name.clone()));
-    let parties = config.platform().into_iter().flat_map(|p| p.parties.keys().cloned());
-    let units = upstreams
-        .chain(parties.map(Unit::Party))
-        .chain(KeyTable::buckets().map(Unit::Keys))
-        .filter(|unit| !cell.units.contains_key(unit));
-    let keep = units.filter_map(|unit| {
-        let gate = winner(up.iter().copied(), &unit.to_string())?.to_string();
-        Some(Op::Keep { unit, gate })
+        .map(|h| Resource::Upstream(h.name.clone()));
+    let customers = config.platform().into_iter().flat_map(|p| p.customers.keys().cloned());
+    let resources = upstreams
+        .chain(customers.map(Resource::Customer))
+        .chain(KeyTable::buckets().map(Resource::Keys))
+        .filter(|resource| !cell.resources.contains_key(resource));
+    let assign = resources.filter_map(|resource| {
+        let gate = winner(up.iter().copied(), &resource.to_string())?.to_string();
+        Some(Op::Assign { resource, gate })
     });
-    keep.collect()
+    assign.collect()
 }
 
 /// Returns suspicions of gates that called no host, or only with another incarnation.
 fn suspect_gates(cell: &Cell, seen: &[GateSeen]) -> Vec<Op> {
     let silent = cell.gates.iter().filter(|(name, gate)| {
-        let heard = seen.iter().any(|s| s.name == **name && s.boot == gate.boot);
+        let heard = seen.iter().any(|s| s.name == **name && s.boot == gate.incarnation);
         gate.health == Health::Up && !heard
     });
-    silent.map(|(name, _)| Op::Suspect { subject: Subject::Gate(name.clone()) }).collect()
+    silent.map(|(name, _)| Op::Suspect { holder: LeaseHolder::Gate(name.clone()) }).collect()
 }
 
 /// Returns lapses of suspects whose leases have expired and whom a majority promises not to renew.
 async fn lapse_ops(tables: &Tables) -> Vec<Op> {
     let now = tables.log_now().unwrap_or_default();
-    let due: Vec<(Subject, u64)> = tables.cell(|c| {
-        let over = |subject: &Subject| {
-            let health = c.cell.health(subject);
+    let due: Vec<(LeaseHolder, u64)> = tables.cell(|c| {
+        let over = |holder: &LeaseHolder| {
+            let health = c.cell.health(holder);
             matches!(health, Some(Health::Suspect { since, .. })
                 if now.since(since) >= LEASE + GUARD)
         };
-        c.cell.suspects().filter(|(subject, _)| over(subject)).collect()
+        c.cell.suspects().filter(|(holder, _)| over(holder)).collect()
     });
     let mut ops = Vec::new();
-    for (subject, suspected) in due {
-        let consents = tables.consents(&subject, suspected).await;
+    for (holder, suspected) in due {
+        let consents = tables.consents(&holder, suspected).await;
         if tables.cell(|c| c.cell.majority(&consents)) {
-            ops.push(Op::Lapse { subject, suspected, consents });
+            ops.push(Op::Lapse { holder, suspected, consents });
         }
     }
     ops
@@ -204,10 +204,10 @@
         Op::Claim { task, attempt, worker } => {
             Some(format!("task {task} attempt {attempt} claimed for worker {worker}"))
         }
-        Op::Stop { task, why, .. } => Some(format!("task {task} is to stop: {why}")),
-        Op::Suspect { subject } => Some(format!("{subject} suspected")),
-        Op::Lapse { subject, consents, .. } => {
-            Some(format!("{subject} given up with the consent of {}", consents.join(", ")))
+        Op::Stop { task, reason, .. } => Some(format!("task {task} is to stop: {reason}")),
+        Op::Suspect { holder } => Some(format!("{holder} suspected")),
+        Op::Lapse { holder, consents, .. } => {
+            Some(format!("{holder} given up with the consent of {}", consents.join(", ")))
         }
         _ => None,
     }
--- a/crates/sched/src/follow.rs
+++ b/crates/sched/src/follow.rs
@@ -8,7 +8,7 @@
 use log::{info, warn};
 
 use myrtle_base::Millis;
-use myrtle_cell::{Read, Record};
+use myrtle_cell::{LogRead, Record};
 use myrtle_config::{ConfigRecord, Verdict};
 use myrtle_peer::SchedPeerClient;
 use myrtle_platform::{Entry, Page, ReadError};
@@ -138,7 +138,7 @@
         }
         table.log_time = Some((page.time, now));
         if !page.more {
-            table.read = Some(Read { sent });
+            table.read = Some(LogRead { sent_at: sent });
         }
         folded
     });
@@ -150,7 +150,7 @@
 fn apply_entry(tables: &Tables, table: &mut CellTable, entry: &Entry) {
     match Record::decode(&entry.data) {
         Some(Record::Batch(batch)) => {
-            tables.events.clock().merge(batch.stamp);
+            tables.events.clock().advance(batch.stamp);
             let verdicts = table.cell.fold(entry.offset, entry.time, &batch);
             let own = batch.writer == tables.writer;
             // The verdicts of a repeated batch are not those of the batch itself.
@@ -159,12 +159,12 @@
             }
         }
         Some(Record::Snapshot(_)) => {
-            table.cell.pass(entry.offset, entry.time);
+            table.cell.skip(entry.offset, entry.time);
             table.snapshot = entry.offset;
         }
         None => {
             warn!("log: cannot decode record {}, skipped", entry.offset);
-            table.cell.pass(entry.offset, entry.time);
+            table.cell.skip(entry.offset, entry.time);
         }
     }
 }
@@ -186,7 +186,7 @@
         });
         found = snapshots.next_back().or(found);
     }
-    let adopted = found.is_some_and(|s| tables.cell(|c| c.cell.adopt(*s)));
+    let adopted = found.is_some_and(|s| tables.cell(|c| c.cell.catch_up(*s)));
     if adopted {
         tables.notify();
         return;
--- a/crates/sched/src/leases.rs
+++ b/crates/sched/src/leases.rs
@@ -5,7 +5,7 @@
 use futures::future::join_all;
 
 use myrtle_base::{LEASE, Millis};
-use myrtle_cell::{Grant, Health, Read, Subject};
+use myrtle_cell::{Health, Lease, LeaseHolder, LogRead};
 use myrtle_peer::SchedPeerClient;
 
 use crate::tables::{MAX_AGE, Tables};
@@ -14,59 +14,64 @@
 const PROMISE_TIMEOUT: Duration = Duration::from_millis(600);
 
 impl Tables {
-    /// Grants a lease to a subject whose clock showed `stamp` in a message received at `arrived`.
-    pub async fn grant(&self, subject: &Subject, stamp: Millis, arrived: Millis) -> Option<Grant> {
+    /// Grants a lease to a holder whose clock showed `stamp` in a message received at `arrived`.
+    pub async fn grant(
+        &self,
+        holder: &LeaseHolder,
+        stamp: Millis,
+        arrived: Millis,
+    ) -> Option<Lease> {
         let now = self.now();
-        let (health, read) = self.cell(|c| (c.cell.health(subject), c.read));
+        let (health, read) = self.cell(|c| (c.cell.health(holder), c.read));
         if health != Some(Health::Up) {
             return None;
         }
-        let fresh = |r: &Read| now.since(r.sent) < MAX_AGE;
+        let fresh = |r: &LogRead| now.since(r.sent_at) < MAX_AGE;
         match read.filter(fresh) {
             Some(read) => read.grant(stamp, arrived),
-            None => self.grant_offline(subject, stamp).await,
+            None => self.grant_offline(holder, stamp).await,
         }
     }
 
-    /// Returns the hosts that promise not to renew the lease of a suspected subject.
-    pub async fn consents(&self, subject: &Subject, suspected: u64) -> Vec<String> {
+    /// Returns the hosts that promise not to renew the lease of a suspected holder.
+    pub async fn consents(&self, holder: &LeaseHolder, suspected: u64) -> Vec<String> {
         let mut hosts = self
             .ask_all(|c, x| {
-                let subject = subject.clone();
-                async move { c.consent(x, subject, suspected).await }
+                let holder = holder.clone();
+                async move { c.consent(x, holder, suspected).await }
             })
             .await;
-        if self.consent(subject, suspected) {
+        if self.consent(holder, suspected) {
             hosts.push(self.name().into());
         }
         hosts
     }
 
-    /// Promises on behalf of this host not to renew the lease of a suspected subject, if it may.
-    pub fn consent(&self, subject: &Subject, suspected: u64) -> bool {
+    /// Promises on behalf of this host not to renew the lease of a suspected holder, if it may.
+    pub fn consent(&self, holder: &LeaseHolder, suspected: u64) -> bool {
         let now = self.now();
-        self.cell(|c| self.promise(|p| p.consent(&c.cell, subject, suspected, now)))
+        self.cell(|c| self.promise(|p| p.consent_lapse(&c.cell, holder, suspected, now)))
     }
 
     /// Promises on behalf of this host that a lease may be renewed without the log, if it may.
-    pub fn allow(&self, subject: &Subject) -> bool {
+    pub fn allow(&self, holder: &LeaseHolder) -> bool {
         let now = self.now();
-        self.cell(|c| self.promise(|p| p.allow(&c.cell, subject, now)))
+        self.cell(|c| self.promise(|p| p.allow_renewal(&c.cell, holder, now)))
     }
 
-    async fn grant_offline(&self, subject: &Subject, stamp: Millis) -> Option<Grant> {
-        if !self.allow(subject) {
+    async fn grant_offline(&self, holder: &LeaseHolder, stamp: Millis) -> Option<Lease> {
+        if !self.allow(holder) {
             return None;
         }
         let mut hosts = self
             .ask_all(|c, x| {
-                let subject = subject.clone();
-                async move { c.allow(x, subject).await }
+                let holder = holder.clone();
+                async move { c.allow(x, holder).await }
             })
             .await;
         hosts.push(self.name().into());
         let enough = self.cell(|c| c.cell.majority(&hosts));
-        enough.then(|| Grant { until: stamp + LEASE })
+        enough.then(|| Lease { until: stamp + LEASE })
     }
 
     /// Returns the peers that answer with true.
--- a/crates/sched/src/peers.rs
+++ b/crates/sched/src/peers.rs
@@ -69,7 +69,7 @@
     let answer = link.call(PULSE_TIMEOUT, call).await;
     record_reply(tables, name, answer.is_some());
     let Some(pulse) = answer else { return };
-    tables.events.clock().merge(pulse.stamp);
+    tables.events.clock().advance(pulse.stamp);
     let now = tables.now();
     tables.peers(|p| {
         if let Some(peer) = p.scheds.get_mut(name) {
--- a/crates/sched/src/reports.rs
+++ b/crates/sched/src/reports.rs
@@ -1,8 +1,8 @@
 //! Derives commands and orders from a worker's reports and the fold, without side effects.
 
 use myrtle_base::Millis;
-use myrtle_cell::{Cell, End, Op, State, TaskId, Why};
-use myrtle_config::WhenCut;
+use myrtle_cell::{Cell, End, Op, State, StopReason, TaskId};
+use myrtle_config::OnUnreachable;
 use myrtle_platform::{Report, RunState, Start, Stop};
 
 use crate::names::{task_id, task_name};
@@ -41,7 +41,11 @@
         RunState::Running => match state {
             State::Claimed(_) => ReportAction::Propose(Op::Started { task, attempt }),
             State::Running(_) if report.checkpoint >= checkpoint + CHECKPOINT_INTERVAL => {
-                ReportAction::Propose(Op::Mark { task, attempt, checkpoint: report.checkpoint })
+                ReportAction::Propose(Op::Checkpoint {
+                    task,
+                    attempt,
+                    checkpoint: report.checkpoint,
+                })
             }
             _ => ReportAction::Nothing,
         },
@@ -57,17 +61,17 @@
 pub fn orders(cell: &Cell, centre: &str, worker: u32) -> (Vec<Start>, Vec<Stop>) {
     let mut starts = Vec::new();
     let mut stops = Vec::new();
-    for (id, task, job) in cell.tasks_on(worker) {
+    for (id, task, job) in cell.worker_tasks(worker) {
         let name = task_name(centre, id);
         match task.state {
             State::Claimed(_) => starts.push(Start {
                 task: name,
                 attempt: task.attempt,
-                room: task.given,
+                room: task.reserved,
                 kind: job.spec.kind.clone(),
                 run_time: job.spec.run_time,
                 checkpoint: task.checkpoint,
-                leased: job.spec.when_cut == WhenCut::Yield,
+                leased: job.spec.on_unreachable == OnUnreachable::Yield,
             }),
             State::Stopping(..) => stops.push(Stop { task: name, attempt: task.attempt }),
             _ => {}
@@ -77,12 +81,12 @@
 }
 
 /// Returns the command that evicts a task, if the task runs.
-pub fn evict(cell: &Cell, id: TaskId, why: Why) -> Option<Op> {
+pub fn evict(cell: &Cell, id: TaskId, reason: StopReason) -> Option<Op> {
     let task = cell.tasks.get(&id)?;
     matches!(task.state, State::Running(_)).then_some(Op::Stop {
         task: id,
         attempt: task.attempt,
-        why,
+        reason,
     })
 }
 
--- a/crates/sched/src/rpc.rs
+++ b/crates/sched/src/rpc.rs
@@ -7,7 +7,7 @@
 use tokio::time::{Instant, timeout_at};
 
 use myrtle_base::{Millis, Stamp};
-use myrtle_cell::{Grant, Health, Op, Subject};
+use myrtle_cell::{Health, Lease, LeaseHolder, Op};
 use myrtle_peer::{GateView, Known, Proposal, Pulse, SchedPeer, Whole, WorkerLoad};
 
 use crate::peers::MAX_GATE_AGE;
@@ -23,7 +23,7 @@
 impl SchedPeer for Server {
     async fn pulse(self, _: Context, stamp: Stamp) -> Pulse {
         let tables = &self.0;
-        tables.events.clock().merge(stamp);
+        tables.events.clock().advance(stamp);
         let now = tables.now();
         let gates = tables.peers(|p| {
             let own = p.gates.iter().map(|(name, (boot, at))| myrtle_peer::GateSeen {
@@ -43,12 +43,12 @@
         }
     }
 
-    async fn allow(self, _: Context, subject: Subject) -> bool {
-        self.0.allow(&subject)
+    async fn allow(self, _: Context, holder: LeaseHolder) -> bool {
+        self.0.allow(&holder)
     }
 
-    async fn consent(self, _: Context, subject: Subject, suspected: u64) -> bool {
-        self.0.consent(&subject, suspected)
+    async fn consent(self, _: Context, holder: LeaseHolder, suspected: u64) -> bool {
+        self.0.consent(&holder, suspected)
     }
 
     async fn whole(self, _: Context) -> Whole {
@@ -58,23 +58,23 @@
     }
 
     async fn propose(self, _: Context, stamp: Stamp, ops: Vec<Op>) -> Proposal {
-        self.0.events.clock().merge(stamp);
+        self.0.events.clock().advance(stamp);
         self.0.commit(ops).await
     }
 
-    async fn renew(self, _: Context, gate: String, boot: u64, clock: Millis) -> Option<Grant> {
+    async fn renew(self, _: Context, gate: String, boot: u64, clock: Millis) -> Option<Lease> {
         let tables = self.0;
         let arrived = tables.now();
         tables.peers(|p| p.gates.insert(gate.clone(), (boot, arrived)));
-        let subject = Subject::Gate(gate.clone());
-        let known = tables.cell(|c| c.cell.gates.get(&gate).map(|g| (g.boot, g.health)));
-        let enter = Op::Gate { name: gate, boot };
+        let holder = LeaseHolder::Gate(gate.clone());
+        let known = tables.cell(|c| c.cell.gates.get(&gate).map(|g| (g.incarnation, g.health)));
+        let enter = Op::Gate { name: gate, incarnation: boot };
         match known {
             Some((known, Health::Up)) if known == boot => {
-                tables.grant(&subject, clock, arrived).await
+                tables.grant(&holder, clock, arrived).await
             }
             Some((known, Health::Suspect { .. })) if known == boot => {
-                tables.propose(vec![Op::Clear { subject }]).await;
+                tables.propose(vec![Op::Clear { holder }]).await;
                 None
             }
             // An earlier incarnation must lapse first, which the cell's writer proposes.
--- a/crates/sched/src/tables.rs
+++ b/crates/sched/src/tables.rs
@@ -8,7 +8,7 @@
 use tokio::time::Instant;
 
 use myrtle_base::{Millis, Ring};
-use myrtle_cell::{Cell, Promise, Read, Verdicts};
+use myrtle_cell::{Cell, LogRead, Promise, Verdicts};
 use myrtle_config::{Config, Settings};
 use myrtle_meter::Meter;
 use myrtle_peer::{GateSeen, Link, Pulse, SchedPeerClient};
@@ -39,7 +39,7 @@
     /// The state.
     pub cell: Cell,
     /// The newest read that showed the end of the stream.
-    pub read: Option<Read>,
+    pub read: Option<LogRead>,
     /// The log's clock, and this host's clock when it was read.
     pub log_time: Option<(Millis, Millis)>,
     /// Verdicts on this writer's batches, by sequence number.
@@ -188,7 +188,7 @@
     /// The age of the newest log read.
     pub fn log_age(&self) -> Millis {
         let now = self.now();
-        self.cell(|c| c.read.map_or(Millis(u64::MAX), |r| now.since(r.sent)))
+        self.cell(|c| c.read.map_or(Millis(u64::MAX), |r| now.since(r.sent_at)))
     }
 
     /// Whether this host is in contact with the log.
--- a/crates/sched/src/views.rs
+++ b/crates/sched/src/views.rs
@@ -37,12 +37,12 @@
                 let upstreams = p.hosts.iter().filter(own).filter(|h| !h.service.is_empty());
                 let drained = |h: &Host| {
                     let number = c.cell.worker_named(&h.name);
-                    number.is_some_and(|number| c.cell.workers[number as usize].leaving)
+                    number.is_some_and(|number| c.cell.workers[number as usize].draining)
                 };
                 Peering {
                     next: c.cell.next,
-                    units: c.cell.units.clone(),
-                    gates: up.map(|(name, gate)| (name.clone(), gate.boot)).collect(),
+                    units: c.cell.resources.clone(),
+                    gates: up.map(|(name, gate)| (name.clone(), gate.incarnation)).collect(),
                     peers: gates
                         .map(|h| (h.name.clone(), (h.data_centre.clone(), h.peer)))
                         .collect(),
--- a/crates/sched/src/workers.rs
+++ b/crates/sched/src/workers.rs
@@ -7,7 +7,7 @@
 use log::{info, warn};
 
 use myrtle_base::Millis;
-use myrtle_cell::{Health, Op, State, Subject};
+use myrtle_cell::{Health, LeaseHolder, Op, State};
 use myrtle_peer::{Proposal, WorkerLoad};
 use myrtle_place::Relief;
 use myrtle_platform::{
@@ -135,7 +135,7 @@
     let orders = tables.cell(|c| {
         let number = c.cell.worker_named(&host.name);
         number.is_some_and(|number| {
-            let mut tasks = c.cell.tasks_on(number);
+            let mut tasks = c.cell.worker_tasks(number);
             tasks.any(|(_, t, _)| matches!(t.state, State::Claimed(_) | State::Stopping(..)))
         })
     });
@@ -183,7 +183,7 @@
     let clock = tables.links(|l| l.get(name).and_then(|l| l.clock));
     let lease = match (worker, clock) {
         (Some(number), Some((stamp, arrived))) => {
-            tables.grant(&Subject::Worker(number), stamp, arrived).await
+            tables.grant(&LeaseHolder::Worker(number), stamp, arrived).await
         }
         _ => None,
     };
@@ -295,22 +295,24 @@
                 name: host.name.clone(),
                 rack: host.rack.clone(),
                 room: host.room,
-                boot: link.incarnation,
+                incarnation: link.incarnation,
             };
             let (Some(number), Some(known)) = (worker, known) else {
                 return if link.incarnation > 0 { vec![enter] } else { Vec::new() };
             };
-            let subject = Subject::Worker(number);
+            let holder = LeaseHolder::Worker(number);
             match known.health {
-                Health::Up if silent && online => return vec![Op::Suspect { subject }],
+                Health::Up if silent && online => return vec![Op::Suspect { holder }],
                 Health::Up => {}
                 // `heard_at` counts from this host's start, so a reply is required as well.
-                Health::Suspect { .. } if reachable => return vec![Op::Clear { subject }],
+                Health::Suspect { .. } if reachable => return vec![Op::Clear { holder }],
                 Health::Suspect { .. } => return Vec::new(),
                 Health::Lapsed if reachable => return vec![enter],
                 Health::Lapsed => return Vec::new(),
             }
-            if link.incarnation > known.boot || (link.incarnation > 0 && known.room != host.room) {
+            if link.incarnation > known.incarnation
+                || (link.incarnation > 0 && known.room != host.room)
+            {
                 return vec![enter];
             }
             let mut ops = apply_reports(&c.cell, tables.centre(), number, link);
@@ -354,10 +356,12 @@
         Op::End { task, attempt, end } => {
             Some(format!("task {task} attempt {attempt} ended: {end:?}"))
         }
-        Op::Stop { task, why, .. } => Some(format!("task {task} is to stop: {why}")),
-        Op::Suspect { subject } => Some(format!("{subject} suspected")),
-        Op::Clear { subject } => Some(format!("{subject} reached again")),
-        Op::Worker { name, boot, .. } => Some(format!("worker {name} entered, life {boot}")),
+        Op::Stop { task, reason, .. } => Some(format!("task {task} is to stop: {reason}")),
+        Op::Suspect { holder } => Some(format!("{holder} suspected")),
+        Op::Clear { holder } => Some(format!("{holder} reached again")),
+        Op::Worker { name, incarnation, .. } => {
+            Some(format!("worker {name} entered, life {incarnation}"))
+        }
         _ => None,
     }
 }
