--- a/crates/base/src/silence.rs
+++ b/crates/base/src/silence.rs
@@ -7,23 +7,23 @@
 use std::collections::BTreeMap;
 use std::time::{Duration, Instant};
 
-/// The lower bound of the patience, the wait after which a call is overdue; many times a usual answer time of 5 ms.
-const MIN_PATIENCE: Duration = Duration::from_millis(140);
+/// The shortest wait after which a call is overdue; many times a usual answer time of 5 ms.
+const MIN_OVERDUE: Duration = Duration::from_millis(140);
 
-/// The upper bound of the patience; longer than the platform's store lets a call wait.
-const MAX_PATIENCE: Duration = Duration::from_millis(2_500);
+/// The longest wait after which a call is overdue; longer than the platform's store lets a call wait.
+const MAX_OVERDUE: Duration = Duration::from_millis(2_500);
 
-/// The ratio of the patience to the slowest late answer, so that a slow peer, whose answers are all late, doesn't
-/// cause new connections.
-const PATIENCE_RATIO: u32 = 4;
+/// The ratio of the wait until a call is overdue to the slowest late answer, so that a slow peer, whose answers
+/// are all late, doesn't cause new connections.
+const OVERDUE_RATIO: u32 = 4;
 
-/// The decay of the patience per late answer.
+/// The decay of the wait until a call is overdue, per late answer.
 const DECAY: f64 = 0.97;
 
 /// Finds silent connections to an address from the times of calls and answers.
 #[derive(Debug)]
 pub struct SilenceDetector {
-    patience: Duration,
+    overdue_after: Duration,
     waiting: BTreeMap<u64, Call>,
     next: u64,
     suspect_before: Option<Instant>,
@@ -34,8 +34,8 @@
 /// Consecutive calls on pooled connections that were cancelled without an answer between them, each before it was
 /// overdue.
 ///
-/// A client's remaining time may be shorter than the patience, and calls of 100 ms would use a silent connection
-/// forever.
+/// A client's remaining time may be shorter than the wait until a call is overdue, and calls of 100 ms would use a
+/// silent connection forever.
 #[derive(Debug)]
 struct Unanswered {
     /// When the first call began.
@@ -70,8 +70,8 @@
 }
 
 impl Call {
-    fn overdue(&self, patience: Duration, now: Instant) -> bool {
-        self.pooled && now >= self.began + self.wait + patience
+    fn overdue(&self, overdue_after: Duration, now: Instant) -> bool {
+        self.pooled && now >= self.began + self.wait + overdue_after
     }
 }
 
@@ -85,7 +85,7 @@
     /// A detector without calls.
     pub fn new() -> Self {
         Self {
-            patience: MIN_PATIENCE,
+            overdue_after: MIN_OVERDUE,
             waiting: BTreeMap::new(),
             next: 0,
             suspect_before: None,
@@ -111,10 +111,11 @@
         self.unanswered = None;
         let took = (now - call.began).saturating_sub(call.wait);
         if !took.is_zero() {
-            let decayed = self.patience.mul_f64(DECAY);
-            self.patience = (took * PATIENCE_RATIO).max(decayed).clamp(MIN_PATIENCE, MAX_PATIENCE);
+            let decayed = self.overdue_after.mul_f64(DECAY);
+            self.overdue_after =
+                (took * OVERDUE_RATIO).max(decayed).clamp(MIN_OVERDUE, MAX_OVERDUE);
         }
-        let quick = self.waiting.values().filter(|w| w.quick && w.overdue(self.patience, now));
+        let quick = self.waiting.values().filter(|w| w.quick && w.overdue(self.overdue_after, now));
         let silent = quick.map(|w| w.began).chain(self.quick_suspect_before).max()?;
         if silent >= opened {
             return None;
@@ -128,7 +129,7 @@
         let Some(call) = self.waiting.remove(&number) else {
             return;
         };
-        if call.overdue(self.patience, now) {
+        if call.overdue(self.overdue_after, now) {
             self.unanswered = None;
             return self.suspect(call.began, call.quick);
         }
@@ -136,7 +137,7 @@
             return;
         }
         let unanswered = Unanswered::add(self.unanswered.take(), &call, now);
-        if unanswered.waited >= self.patience {
+        if unanswered.waited >= self.overdue_after {
             return self.suspect(unanswered.began, unanswered.quick);
         }
         self.unanswered = Some(unanswered);
@@ -152,7 +153,7 @@
 
     /// Connections that last received data before the returned instant are suspect and must not be used any more.
     pub fn suspect_before(&self, now: Instant) -> Option<Instant> {
-        let waiting = self.waiting.values().filter(|w| w.overdue(self.patience, now));
+        let waiting = self.waiting.values().filter(|w| w.overdue(self.overdue_after, now));
         waiting.map(|w| w.began).chain(self.suspect_before).max()
     }
 }
--- a/crates/base/tests/silence.rs
+++ b/crates/base/tests/silence.rs
@@ -107,7 +107,7 @@
     let numbers: Vec<_> =
         (0..20).map(|_| silence.sent(Duration::ZERO, true, true, start)).collect();
     numbers.into_iter().for_each(|n| silence.cancelled(n, start + ms(100)));
-    assert_eq!(silence.suspect_before(start + ms(100)), None, "100 ms is within the patience");
+    assert_eq!(silence.suspect_before(start + ms(100)), None, "a call of 100 ms is not overdue");
 }
 
 #[test]
