--- a/crates/ctl/tests/job.rs
+++ b/crates/ctl/tests/job.rs
@@ -46,9 +46,9 @@
     let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
     let at = listener.local_addr().unwrap();
     let store = Arc::new(Store::default());
-    tokio::spawn(serve(listener, move |ctl| {
+    tokio::spawn(serve(listener, move |request| {
         let store = store.clone();
-        async move { store.handle(ctl).await }
+        async move { store.handle(request).await }
     }));
     while !start_host(at).await {}
     let steps = vec![StepSpec { count: 2, estimate_ms: 100, ..StepSpec::default() }];
--- a/crates/front/src/takeover.rs
+++ b/crates/front/src/takeover.rs
@@ -164,8 +164,8 @@
         owned.state().restore_progress(id, progress, now());
     }
     // The progress may already contain some of the transfers in the log, so they come after it.
-    let parts = jobs.iter().filter(|(key, _)| !matches!(key, Key::Job(_)));
-    parts.for_each(|(key, value)| admit(host, owned, *key, value));
+    let transfers = jobs.iter().filter(|(key, _)| !matches!(key, Key::Job(_)));
+    transfers.for_each(|(key, value)| admit(host, owned, *key, value));
     owned.next_offset.store(end, Ordering::Relaxed);
     Ok(())
 }
--- a/crates/front/src/tick.rs
+++ b/crates/front/src/tick.rs
@@ -50,8 +50,13 @@
         cell.remove_expired(now(), wall());
     }
     if ticks.is_multiple_of(LOG_EVERY) {
-        let limbo = cell.uncertain(now());
-        info!("event=cell cell={} {} {limbo} {}", owned.cell, cell.summary(), owned.busy.take());
+        let uncertain = cell.uncertain(now());
+        info!(
+            "event=cell cell={} {} {uncertain} {}",
+            owned.cell,
+            cell.summary(),
+            owned.busy.take()
+        );
     }
     let mut orders = cell.resend(now());
     // The flush task sends them too, but not during an append: while the store is unreachable, stops and speed limits
--- a/crates/owner/src/placing/reservation.rs
+++ b/crates/owner/src/placing/reservation.rs
@@ -6,7 +6,7 @@
 //! is reserved for it where estimates say that it will soon be free, and tasks that come later in
 //! the pass leave it alone.
 //!
-//! Each pass reserves room anew, so no reservation has to be released: a task that was cancelled,
+//! Each pass makes its own reservations, so no reservation has to be released: a task that was cancelled,
 //! transferred or placed isn't considered again, and a successor reserves room in its first pass.
 
 use std::collections::BTreeMap;
@@ -37,7 +37,7 @@
 }
 
 impl Reservations {
-    /// Ends a pass: the next one reserves anew.
+    /// Ends a pass: the next one makes its own reservations.
     pub(crate) fn end(&mut self) {
         self.reserved.clear();
         self.previous = std::mem::take(&mut self.workers);
--- a/crates/owner/src/placing/unplaceable.rs
+++ b/crates/owner/src/placing/unplaceable.rs
@@ -15,7 +15,7 @@
     service: String,
     image: Option<Arc<str>>,
     filler: bool,
-    lasting: bool,
+    long_running: bool,
     room: Room,
     /// The estimated time of its tasks; a filler is placed by its expected speed over that time.
     estimate: u64,
@@ -59,7 +59,7 @@
             service: policy.service.clone(),
             image: spec.image.clone(),
             filler: spec.filler,
-            lasting: spec.long_running,
+            long_running: spec.long_running,
             room: spec.room,
             estimate: spec.estimate_ms,
             tolerance,
@@ -70,7 +70,7 @@
     fn covers(&self, job: &Job, spec: &StepSpec, tolerance: Tolerance) -> bool {
         self.service == job.submission.policy.service
             && self.image == spec.image
-            && (self.filler, self.lasting) == (spec.filler, spec.long_running)
+            && (self.filler, self.long_running) == (spec.filler, spec.long_running)
             && self.room.fits(&spec.room)
             && (!spec.filler || self.estimate <= spec.estimate_ms)
             && self.tolerance >= tolerance
--- a/crates/owner/tests/cells/act.rs
+++ b/crates/owner/tests/cells/act.rs
@@ -110,12 +110,12 @@
             Order::Stop { worker: incarnation, task, run } => {
                 if let Some((run, saved)) = worker.runs.remove(task) {
                     worker.count += 1;
-                    let (number, how) = (worker.count, EndReason::Stopped);
+                    let (seq, reason) = (worker.count, EndReason::Stopped);
                     worker.ended.push(EndedRun {
-                        seq: number,
+                        seq,
                         task: *task,
                         run,
-                        reason: how,
+                        reason,
                         checkpoint: saved,
                     });
                 }
--- a/crates/owner/tests/common/jobs.rs
+++ b/crates/owner/tests/common/jobs.rs
@@ -31,6 +31,6 @@
 }
 
 /// The reported end of a run, without a checkpoint.
-pub fn ended(number: u64, task: TaskId, run: u32, how: EndReason) -> EndedRun {
-    EndedRun { seq: number, task, run, reason: how, checkpoint: String::new() }
+pub fn ended(seq: u64, task: TaskId, run: u32, reason: EndReason) -> EndedRun {
+    EndedRun { seq, task, run, reason, checkpoint: String::new() }
 }
--- a/crates/owner/tests/common/mod.rs
+++ b/crates/owner/tests/common/mod.rs
@@ -241,8 +241,8 @@
             cell.restore_progress(id, progress, self.now);
         }
         let (now, wall) = (self.now, self.now);
-        if let Some(lessons) = self.owners.last().and_then(|o| o.cell.learned_model(now, wall)) {
-            cell.restore_model(&lessons, now, wall).unwrap();
+        if let Some(model) = self.owners.last().and_then(|o| o.cell.learned_model(now, wall)) {
+            cell.restore_model(&model, now, wall).unwrap();
         }
         cell.loaded = true;
         if let Some(last) = self.owners.last_mut() {
--- a/crates/owner/tests/common/worker.rs
+++ b/crates/owner/tests/common/worker.rs
@@ -187,7 +187,7 @@
                 }
             }
         }
-        ended.into_iter().for_each(|(t, how)| self.end(t, how, judge));
+        ended.into_iter().for_each(|(t, reason)| self.end(t, reason, judge));
     }
 
     /// Renews the lease, discards the ends that the owner has seen, and returns the active runs and the other ends.
@@ -318,24 +318,18 @@
     }
 
     /// Ends a run.
-    fn end(&mut self, task: TaskId, how: EndReason, judge: &mut Judge) {
+    fn end(&mut self, task: TaskId, reason: EndReason, judge: &mut Judge) {
         let Some(run) = self.runs.remove(&task) else {
             return;
         };
         let max = self.max_ended.entry(task).or_default();
         *max = (*max).max(run.number);
-        judge.over(&self.name, task, how == EndReason::Done);
-        if how == EndReason::Failed {
+        judge.over(&self.name, task, reason == EndReason::Done);
+        if reason == EndReason::Failed {
             judge.failed(task, run.number, self.last);
         }
         self.count += 1;
-        let number = self.count;
-        self.ends.push(EndedRun {
-            seq: number,
-            task,
-            run: run.number,
-            reason: how,
-            checkpoint: String::new(),
-        });
+        let seq = self.count;
+        self.ends.push(EndedRun { seq, task, run: run.number, reason, checkpoint: String::new() });
     }
 }
--- a/crates/owner/tests/lease_waits.rs
+++ b/crates/owner/tests/lease_waits.rs
@@ -379,7 +379,7 @@
 
 case!(
     /// An owner's successor ends; the store finds the cell vacant and assigns it to the first owner's host again, which
-    /// begins anew and meets a worker. The last owner's host saw the second one begin.
+    /// owns it from the start and contacts a worker. The last owner's host saw the second one begin.
     a_lease_of_a_host_that_owns_the_cell_again_is_waited_for_in_full,
     world,
     {
--- a/crates/owner/tests/missed_long.rs
+++ b/crates/owner/tests/missed_long.rs
@@ -70,7 +70,7 @@
     assert_eq!(started(&cells), 4, "tasks wait once more despite their long downtime");
 });
 
-/// Fault: if the wait begins anew with each owner, although each finds at once that no worker has room, a long-running
+/// Fault: if the wait restarts with each owner, although each finds at once that no worker has room, a long-running
 /// task waits for 9 s while another cell has room.
 #[test]
 fn successive_owners_do_not_restart_the_wait() {
--- a/crates/owner/tests/pace.rs
+++ b/crates/owner/tests/pace.rs
@@ -142,7 +142,7 @@
     let cell = &mut colocated.world.owner().cell;
     let model = cell.learned_model(0, 0);
     assert!(model.is_some());
-    assert!(cell.restore_model(b"no lessons", 0, 0).is_err());
+    assert!(cell.restore_model(b"not a model", 0, 0).is_err());
     assert_eq!(cell.learned_model(0, 0), model);
 }
 
--- a/crates/owner/tests/restart_courses.rs
+++ b/crates/owner/tests/restart_courses.rs
@@ -1,6 +1,6 @@
-//! Drawn courses of workers that start again under their ids and under other ones: alone, by rack and all at once,
-//! with late orders, cuts, old entries of the list, clocks that are set back, owners that are killed or frozen, and
-//! a log that is away.
+//! Random sequences of worker restarts under the same and other ids: of one worker, a rack or all at once, with late
+//! orders, network partitions, stale entries of the list, clocks that are set back, owners that are killed or frozen,
+//! and an unreachable log.
 
 mod common;
 
@@ -14,52 +14,52 @@
 use myrtle_job::{JobId, Policy, State, StepSpec};
 use myrtle_owner::UncertainRuns;
 
-/// The time in which things go wrong, in milliseconds.
-const TROUBLE: u64 = 25_000;
+/// How long faults are injected, in milliseconds.
+const FAULT_TIME: u64 = 25_000;
 
-/// The time in which all jobs have to end after that, in milliseconds.
-const REST: u64 = 40_000;
+/// The time in which all jobs have to end after the faults, in milliseconds.
+const SETTLE_TIME: u64 = 40_000;
 
-/// The longest that a worker is away, in milliseconds.
-const LONGEST_AWAY: u64 = 10_000;
+/// The longest that a worker takes to restart, in milliseconds.
+const MAX_RESTART: u64 = 10_000;
 
-/// The longest that the list shows an entry of before, in milliseconds.
-const LONGEST_STALE: u64 = 3_000;
+/// The longest that the list shows a stale entry after a restart, in milliseconds.
+const MAX_STALE: u64 = 3_000;
 
-/// How many workers may be lost under a task before it is given up; by `Crashes`.
-const LOSSES: u8 = 5;
+/// The number of workers lost under a task after which it is given up; from `Crashes`.
+const MAX_LOSSES: u8 = 5;
 
-/// Something that happens in a course.
+/// A fault, or its end, in a sequence.
 #[derive(Debug, Clone, Copy)]
 enum Event {
-    /// A worker starts anew, or crashes and comes back under another id.
-    One,
-    /// The same with all workers of a rack.
+    /// A worker restarts under its id, or crashes and is replaced under another.
+    Worker,
+    /// All workers of a rack restart or crash.
     Rack,
-    /// The same with all workers.
+    /// All workers restart or crash.
     All,
-    /// The owner is cut off from a worker, or that ends.
-    Cut,
-    /// Another host owns the cell; the one before is killed, or goes on until it learns of it.
+    /// A network partition between the owner and a worker begins or ends.
+    Partition,
+    /// Another host owns the cell; the previous owner is killed, or continues until it is deposed.
     Owner,
-    /// The log is away, or back.
+    /// The log becomes unreachable or reachable.
     Log,
-    /// Clocks of hosts are set, back or forth.
+    /// The clocks of workers that start from now on are set back by another time.
     Clock,
-    /// A worker fails all that it runs, or does no more.
+    /// A worker starts or stops failing all its runs.
     Failing,
 }
 
-/// What a course draws from, each as often as it is named.
+/// The events of a sequence, each drawn in proportion to its occurrences here.
 const EVENTS: [Event; 14] = [
-    Event::One,
-    Event::One,
-    Event::One,
-    Event::One,
+    Event::Worker,
+    Event::Worker,
+    Event::Worker,
+    Event::Worker,
     Event::Rack,
     Event::All,
-    Event::Cut,
-    Event::Cut,
+    Event::Partition,
+    Event::Partition,
     Event::Owner,
     Event::Log,
     Event::Log,
@@ -68,8 +68,8 @@
     Event::Failing,
 ];
 
-/// A step of any kind that clients hand in.
-fn kind(rng: &mut ChaCha8Rng) -> StepSpec {
+/// Returns a random step of any kind that clients submit.
+fn random_step(rng: &mut ChaCha8Rng) -> StepSpec {
     let plain =
         StepSpec { estimate_ms: rng.random_range(100..3_000), ..step(rng.random_range(1..8)) };
     match rng.random_range(0..6) {
@@ -81,43 +81,43 @@
     }
 }
 
-/// Hands in a job of up to three steps; its name, and whether it lasts until it is taken back.
+/// Submits a job of up to three steps; returns its id and whether it is long-running.
 fn submit(world: &mut World, rng: &mut ChaCha8Rng) -> (JobId, bool) {
-    let mut steps = vec![kind(rng)];
+    let mut steps = vec![random_step(rng)];
     for before in 0..rng.random_range(0..3u16) {
-        // Nothing comes after a step that lasts.
+        // A long-running step has no successors.
         if steps.iter().any(|s| s.long_running) {
             break;
         }
-        steps.push(StepSpec { after: vec![before], ..kind(rng) });
+        steps.push(StepSpec { after: vec![before], ..random_step(rng) });
     }
-    let lasts = steps.iter().any(|s| s.long_running);
+    let long = steps.iter().any(|s| s.long_running);
     let id = world.submit_as(job(steps), Policy { max_failures: 3, ..policy() });
-    (id, lasts)
+    (id, long)
 }
 
-/// Lets workers crash that are up; each comes back after a while, under its id more often than not.
+/// Crashes workers; most restart under their ids, the others are replaced.
 fn crash(world: &mut World, ids: Vec<Arc<str>>, rng: &mut ChaCha8Rng) {
     for id in ids {
-        let away = match rng.random_range(0..3) {
+        let restart = match rng.random_range(0..3) {
             0 => 10,
             1 => rng.random_range(10..1_500),
-            _ => rng.random_range(10..LONGEST_AWAY),
+            _ => rng.random_range(10..MAX_RESTART),
         };
         if rng.random_bool(0.25) {
             world.crash(&id);
             continue;
         }
         if rng.random_bool(0.3) {
-            let until = world.now + away + rng.random_range(0..LONGEST_STALE);
+            let until = world.now + restart + rng.random_range(0..MAX_STALE);
             world.stale.insert(id.clone(), (until, world.workers[&id].listing.clone()));
         }
-        world.restart(&id, away);
+        world.restart(&id, restart);
     }
 }
 
-/// Lets something happen.
-fn happen(world: &mut World, rng: &mut ChaCha8Rng) {
+/// Injects a random event.
+fn inject(world: &mut World, rng: &mut ChaCha8Rng) {
     let up: Vec<Arc<str>> =
         world.workers.iter().filter(|(_, w)| !w.gone).map(|(id, _)| id.clone()).collect();
     let Some(one) = up.get(rng.random_range(0..up.len().max(1))).cloned() else {
@@ -125,7 +125,7 @@
     };
     let owner = world.owners.len() - 1;
     match EVENTS[rng.random_range(0..EVENTS.len())] {
-        Event::One => crash(world, vec![one], rng),
+        Event::Worker => crash(world, vec![one], rng),
         Event::Rack => {
             let rack = world.workers[&one].listing.labels[1].clone();
             let of_rack = |id: &Arc<str>| world.workers[id].listing.labels[1] == rack;
@@ -133,7 +133,7 @@
             crash(world, ids, rng);
         }
         Event::All => crash(world, up, rng),
-        Event::Cut => world.cut(owner, &one, rng.random_bool(0.5)),
+        Event::Partition => world.cut(owner, &one, rng.random_bool(0.5)),
         Event::Owner => {
             world.owner().awake = rng.random_bool(0.5);
             world.take_over();
@@ -147,32 +147,32 @@
     }
 }
 
-/// Plays a course; what was broken, in words. Orders that are late may outlive the process that they were sent to.
-fn play(seed: u64, outlive: bool) -> Vec<String> {
+/// Runs a sequence; returns the violations. With `outlive`, late orders outlive the process that they were sent to.
+fn run_sequence(seed: u64, outlive: bool) -> Vec<String> {
     let mut rng = ChaCha8Rng::seed_from_u64(seed);
     let mut world = World::new(seed, rng.random_range(4..14));
     world.run(2_000);
     world.faults = Faults { unanswered: 0.05, late: 0.03, queued: 0.03, outlive };
-    let (mut jobs, mut lasting) = (Vec::new(), Vec::new());
-    let began = world.now;
-    while world.now < began + TROUBLE {
+    let (mut jobs, mut long_running) = (Vec::new(), Vec::new());
+    let start = world.now;
+    while world.now < start + FAULT_TIME {
         match submit(&mut world, &mut rng) {
-            (id, true) => lasting.push(id),
+            (id, true) => long_running.push(id),
             (id, false) => jobs.push(id),
         }
         world.run(rng.random_range(50..400));
         if rng.random_bool(0.6) {
-            happen(&mut world, &mut rng);
+            inject(&mut world, &mut rng);
         }
     }
     settle(&mut world);
-    // Room for all others.
-    lasting.iter().for_each(|id| world.cancel(*id));
-    world.run(REST);
-    judge(&mut world, &jobs)
+    // Frees the room for the other jobs.
+    long_running.iter().for_each(|id| world.cancel(*id));
+    world.run(SETTLE_TIME);
+    violations(&mut world, &jobs)
 }
 
-/// Ends all trouble; workers that are away come back by themselves.
+/// Ends all faults; workers that are restarting return by themselves.
 fn settle(world: &mut World) {
     world.faults = Faults::default();
     world.stale.clear();
@@ -181,24 +181,26 @@
     world.workers.values_mut().for_each(|w| w.failing = false);
 }
 
-fn judge(world: &mut World, jobs: &[JobId]) -> Vec<String> {
-    let mut broken = std::mem::take(&mut world.judge.broken);
+/// Returns the violations that the world's judge found, and the jobs that did not end as they should.
+fn violations(world: &mut World, jobs: &[JobId]) -> Vec<String> {
+    let mut violations = std::mem::take(&mut world.judge.broken);
     let overspent = world.judge.overspent();
-    broken.extend(overspent.iter().map(|task| format!("{task} was started after three failures")));
-    broken
-        .extend(world.judge.overlong.iter().map(|(w, ms)| format!("{w} had to hold for {ms} ms")));
+    violations
+        .extend(overspent.iter().map(|task| format!("{task} was started after three failures")));
+    violations
+        .extend(world.judge.overlong.iter().map(|(w, ms)| format!("{w} got a lease of {ms} ms")));
     let now = world.now;
     let cell = &world.owner().cell;
     if cell.uncertain(now) != UncertainRuns::default() {
-        broken.push(format!("at the end {}", cell.uncertain(now)));
+        violations.push(format!("at the end {}", cell.uncertain(now)));
     }
     for id in jobs {
         let Some(job) = cell.jobs.get(id) else {
-            broken.push(format!("{id} is not known"));
+            violations.push(format!("{id} is missing"));
             continue;
         };
         let lost =
-            job.progress.crashes.values().any(|c| c.losses >= LOSSES || c.suspect_losses >= 3);
+            job.progress.crashes.values().any(|c| c.losses >= MAX_LOSSES || c.suspect_losses >= 3);
         let failed = job.progress.tasks().any(|(.., t)| t.failed_runs.len() >= 3)
             || job
                 .progress
@@ -210,44 +212,44 @@
         let well =
             state == Some(State::Completed) || state == Some(State::Failed) && (lost || failed);
         if !well {
-            broken.push(format!("{id} is {state:?} at the end"));
+            violations.push(format!("{id} is {state:?} at the end"));
         }
     }
-    broken
+    violations
 }
 
-/// Plays courses and tells which broke something.
-fn courses(seeds: std::ops::Range<u64>) {
-    let mut red = Vec::new();
+/// Runs sequences and asserts that none has a violation.
+fn assert_sequences(seeds: std::ops::Range<u64>) {
+    let mut failed = Vec::new();
     for seed in seeds {
-        let broken = play(seed, false);
-        if let Some(first) = broken.first() {
-            println!("seed {seed}: {} broken, the first: {first}", broken.len());
-            red.push(seed);
+        let violations = run_sequence(seed, false);
+        if let Some(first) = violations.first() {
+            println!("seed {seed}: {} violations, the first: {first}", violations.len());
+            failed.push(seed);
         }
     }
-    assert_eq!(red, Vec::<u64>::new(), "courses that broke something");
+    assert_eq!(failed, Vec::<u64>::new(), "sequences with violations");
 }
 
 #[test]
-fn in_ten_courses_of_restarts_every_promise_holds() {
-    courses(0..10);
+fn guarantees_hold_in_ten_restart_sequences() {
+    assert_sequences(0..10);
 }
 
 #[test]
 #[ignore = "by hand: cargo test -p myrtle-owner --test restart_courses -- --ignored --nocapture"]
-fn in_two_hundred_courses_of_restarts_every_promise_holds() {
-    courses(10..210);
+fn guarantees_hold_in_two_hundred_restart_sequences() {
+    assert_sequences(10..210);
 }
 
-// Calls that were sent to a process end with it, by their connections. Were they held back on the way and carried
-// out by the next one, what can be barred there is: each of these courses is red without one of the safeguards.
+// Calls to a process end with it, as their connections do. If the network delayed them and the next process executed
+// them, the owner would stop there what it can: each of these seeds fails without one of the safeguards.
 #[rstest]
-fn orders_that_outlive_their_process_are_barred_at_the_next(
+fn orders_that_outlive_their_process_are_stopped_at_the_next(
     #[values(11, 14, 15, 28, 30, 33, 50, 100, 102, 126)] seed: u64,
 ) {
-    let broken = play(seed, true);
-    // A lease that was asked of the process before is longer than any by the next one's clock, and is cut there.
-    let broken = broken.iter().filter(|words| !words.contains("had to hold"));
-    assert_eq!(broken.collect::<Vec<_>>(), Vec::<&String>::new());
+    let violations = run_sequence(seed, true);
+    // A lease requested from the previous process exceeds the maximum by the next one's clock, and is shortened there.
+    let violations = violations.iter().filter(|text| !text.contains("got a lease of"));
+    assert_eq!(violations.collect::<Vec<_>>(), Vec::<&String>::new());
 }
--- a/crates/owner/tests/restarts.rs
+++ b/crates/owner/tests/restarts.rs
@@ -1,9 +1,9 @@
-//! Workers that start again under the id that they had: they hold nothing of before, and their clocks and the
-//! numbers of their ends begin anew.
+//! Workers that restart under the same id: they have no runs of the previous incarnation, and their clocks and the
+//! sequence numbers of their ended runs start again.
 //!
-//! Tasks that had ended well ran once more, and tasks were started after as many failures as their queue
-//! allows. Seventeen workers had lost power together and were back under their ids within a second. Their
-//! owner met them with nothing running, and logged no change of incarnation:
+//! Fault: completed tasks ran again, and tasks were started after as many failures as their queue allows. Seventeen
+//! workers lost power together and were back under their ids within a second. Their owner contacted them, found
+//! nothing running, and logged no change of incarnation:
 //!
 //! ```text
 //! 5.001 event=worker-silent worker=W runs=8
@@ -11,10 +11,10 @@
 //! 7.372 event=run-absent task=J.0.1.7 run=2 worker=W stage=Up at=17347
 //! ```
 //!
-//! The last run had ended well at 7.06, and no `run-ended` tells of that. All that was known of a worker was known
-//! by its id. The next incarnation numbered its ends from 1, so they counted as taken in long ago, and the worker
-//! was told to forget them; leases were reckoned by the clock of before, 16.6 s where 10 s are the most. Now what is
-//! known of a worker is known of one incarnation, by id and start.
+//! The last run had completed at 7.06, without a `run-ended`. The owner kept its state of a worker by id alone. The
+//! next incarnation numbered its ended runs from 1, so the owner took them for ones received before and had the worker
+//! delete them; leases were computed by the previous clock, 16.6 s where 10 s are the maximum. The state of a worker
+//! is therefore kept per incarnation, by id and start.
 
 mod common;
 
@@ -25,31 +25,31 @@
 use myrtle_job::{EndReason, JobId, State, StepSpec, TaskId, WorkerRuns};
 use myrtle_owner::UncertainRuns;
 
-/// How long workers are away, in milliseconds.
-const AWAY: u64 = 600;
+/// How long a worker takes to restart, in milliseconds.
+const RESTART: u64 = 600;
 
-/// How long nothing of a job may run though a task's turn has come, in milliseconds; the platform's figure.
-const IDLE: u64 = 3_000;
+/// The longest that a job with a ready task may have no run, in milliseconds; a limit of the platform.
+const MAX_IDLE: u64 = 3_000;
 
-/// How long workers have been at work before, in milliseconds: each has told of some twenty ends.
-const BEFORE: u64 = 6_000;
+/// How long workers run before the fault, in milliseconds: each has reported some twenty ended runs.
+const WARM_UP: u64 = 6_000;
 
-/// Names a case and gives it a world of four workers that have been at work.
+/// Declares a test in a world of four workers that have already run tasks.
 macro_rules! case {
     ($(#[$doc:meta])* $name:ident, $world:ident, $body:block) => {
         $(#[$doc])*
         #[test]
         fn $name() {
             let mut $world = World::new(7, 4);
-            busy(&mut $world, BEFORE);
+            submit_jobs(&mut $world, WARM_UP);
             $body
             assert_eq!($world.judge.broken, Vec::<String>::new());
         }
     };
 }
 
-/// Lets time pass while jobs of two steps come, five a second; their names.
-fn busy(world: &mut World, millis: u64) -> Vec<JobId> {
+/// Submits five jobs of two steps a second for a time in milliseconds; returns their ids.
+fn submit_jobs(world: &mut World, millis: u64) -> Vec<JobId> {
     let submit = |world: &mut World| {
         let second = StepSpec { after: vec![0], estimate_ms: 300, ..step(2) };
         let id = world.submit(job(vec![StepSpec { estimate_ms: 500, ..step(4) }, second]));
@@ -59,29 +59,29 @@
     (0..millis / 200).map(|_| submit(world)).collect()
 }
 
-/// All workers lose power and are back under their ids.
+/// Restarts all workers under their ids.
 fn restart_all(world: &mut World) {
     let ids: Vec<Arc<str>> = world.workers.keys().cloned().collect();
-    ids.iter().for_each(|id| world.restart(id, AWAY));
+    ids.iter().for_each(|id| world.restart(id, RESTART));
 }
 
-/// Asks that jobs end well in time.
-fn completed(world: &mut World, jobs: &[JobId]) {
+/// Asserts that jobs complete within 15 s.
+fn assert_completed(world: &mut World, jobs: &[JobId]) {
     world.run(15_000);
     let cell = &world.owner().cell;
     let states: Vec<_> = jobs.iter().map(|id| cell.state(*id)).collect();
     assert_eq!(states, vec![Some(State::Completed); jobs.len()]);
 }
 
-case!(what_ended_well_on_a_worker_that_came_back_is_not_started_again, world, {
+case!(tasks_completed_on_a_restarted_worker_do_not_run_again, world, {
     restart_all(&mut world);
-    let jobs = busy(&mut world, 4_000);
-    completed(&mut world, &jobs);
+    let jobs = submit_jobs(&mut world, 4_000);
+    assert_completed(&mut world, &jobs);
 });
 
-case!(failures_on_a_worker_that_came_back_are_counted, world, {
+case!(failures_on_a_restarted_worker_are_counted, world, {
     restart_all(&mut world);
-    world.run(AWAY + 100);
+    world.run(RESTART + 100);
     world.workers.values_mut().for_each(|w| w.failing = true);
     let id = world.submit(job(vec![step(1)]));
     world.run(8_000);
@@ -89,47 +89,47 @@
     assert_eq!(world.judge.overspent(), vec![]);
 });
 
-case!(no_lease_is_reckoned_by_the_clock_of_before, world, {
+case!(no_lease_is_computed_by_the_previous_clock, world, {
     restart_all(&mut world);
-    busy(&mut world, 2_000);
+    submit_jobs(&mut world, 2_000);
     assert!(world.judge.overlong.is_empty(), "{:?}", world.judge.overlong);
 });
 
-case!(a_step_begins_once_those_before_it_have_ended_well, world, {
+case!(a_step_starts_once_its_predecessors_are_completed, world, {
     restart_all(&mut world);
-    world.run(AWAY + 100);
+    world.run(RESTART + 100);
     let (first, second) = (StepSpec { estimate_ms: 4_000, ..step(4) }, step(2));
     let id = world.submit(job(vec![first, StepSpec { after: vec![0], ..second }]));
     let task = |step, index| TaskId { job: id, round: 0, step, index };
-    let began = world.now;
-    while world.now < began + 10_000 && !(0..4).all(|index| world.judge.ended_well(task(0, index)))
+    let start = world.now;
+    while world.now < start + 10_000 && !(0..4).all(|index| world.judge.ended_well(task(0, index)))
     {
         world.run(10);
     }
-    world.run(IDLE);
-    assert!(world.judge.starts.contains_key(&task(1, 0)), "nothing runs of what could run");
+    world.run(MAX_IDLE);
+    assert!(world.judge.starts.contains_key(&task(1, 0)), "the second step did not start");
 });
 
-// Starts that the platform holds back are carried out by the next incarnation, which knows of no stop that the one
-// before was told.
-case!(starts_that_are_held_back_are_barred_at_the_next_incarnation, world, {
+// Fault: starts that the platform delays are executed by the next incarnation, which has not received the stops sent
+// to the previous one.
+case!(delayed_starts_are_stopped_at_the_next_incarnation, world, {
     world.faults = Faults { late: 1.0, outlive: true, ..Faults::default() };
     let jobs: Vec<JobId> = (0..4).map(|_| world.submit(job(vec![step(4)]))).collect();
     world.run(300);
     world.faults = Faults { outlive: true, ..Faults::default() };
     restart_all(&mut world);
-    completed(&mut world, &jobs);
+    assert_completed(&mut world, &jobs);
 });
 
-// The list goes on to show the incarnation before, whose clock was ahead. Believed, it would end the one that is
-// there, and what runs there would run twice.
-case!(an_old_entry_with_a_later_start_says_nothing_of_the_one_that_is_there, world, {
+// Fault: the list still shows the previous incarnation, whose clock was ahead. If the owner took it for a newer one,
+// it would end the current one, whose tasks would run twice.
+case!(a_stale_entry_with_a_later_start_does_not_end_the_current_incarnation, world, {
     world.set_back = 30_000;
     let long = StepSpec { estimate_ms: 4_000, ..step(8) };
     for id in world.workers.keys().cloned().collect::<Vec<_>>() {
         let old = world.workers[&id].listing.clone();
-        world.restart(&id, AWAY);
-        world.run(AWAY + 1_000);
+        world.restart(&id, RESTART);
+        world.run(RESTART + 1_000);
         world.submit(job(vec![long.clone()]));
         world.run(500);
         world.stale.insert(id, (world.now + 1_000, old));
@@ -138,50 +138,54 @@
     assert!(world.finish(20_000));
 });
 
-case!(what_ran_on_a_worker_that_came_back_behind_a_cut_goes_on_elsewhere_at_once, world, {
+case!(tasks_of_an_unreachable_restarted_worker_move_at_once, world, {
     world.run(5_000);
     let id = world.submit(job(vec![StepSpec { estimate_ms: 3_000, ..step(1) }]));
     world.run(200);
     let busy = world.workers.iter().find(|(_, w)| w.count() > 0).unwrap().0.clone();
     world.cut(0, &busy, true);
-    world.restart(&busy, AWAY);
-    world.run(AWAY + 3_000 + 1_000);
-    assert_eq!(world.owner().cell.state(id), Some(State::Completed), "it waited for a lease");
+    world.restart(&busy, RESTART);
+    world.run(RESTART + 3_000 + 1_000);
+    assert_eq!(
+        world.owner().cell.state(id),
+        Some(State::Completed),
+        "the task waited for the end of the lease"
+    );
 });
 
-case!(an_answer_of_another_incarnation_says_nothing_of_this_ones_runs, world, {
+case!(a_reply_of_another_incarnation_ends_no_run_of_this_one, world, {
     let id = world.submit(job(vec![StepSpec { estimate_ms: 3_000, ..step(1) }]));
     world.run(200);
     let task = TaskId { job: id, round: 0, step: 0, index: 0 };
     let busy = world.workers.iter().find(|(_, w)| w.runs(task)).unwrap().0.clone();
     let (now, incarnation) = (world.now, world.life(&busy));
-    let number = world.owner().cell.workers[&incarnation].received_ends + 1;
+    let seq = world.owner().cell.workers[&incarnation].received_ends + 1;
     let start = incarnation.start() + 1_000;
-    let ended = vec![ended(number, task, 1, EndReason::Failed)];
+    let ended = vec![ended(seq, task, 1, EndReason::Failed)];
     let held = WorkerRuns { started_at: start, clock_ms: 5, running: vec![], ended };
     let cell = &mut world.owner().cell;
     cell.renewed(&incarnation, held, now - 1, now, now);
     assert!(cell.jobs[&id].progress.task(task).unwrap().failed_runs.is_empty());
-    assert!(!cell.workers.contains_key(&incarnation), "it is over");
+    assert!(!cell.workers.contains_key(&incarnation), "the incarnation has not ended");
     assert!(
         cell.workers[&incarnation.with_start(start)].clock.is_none(),
-        "the next one is still to be asked"
+        "the next incarnation has not replied yet"
     );
 });
 
-case!(the_log_holds_nothing_of_incarnations_that_are_over, world, {
+case!(the_log_keeps_no_traces_of_ended_incarnations, world, {
     let before: Vec<_> = world.traces.keys().cloned().collect();
     assert!(!before.is_empty());
     restart_all(&mut world);
-    busy(&mut world, 2_000);
+    submit_jobs(&mut world, 2_000);
     let left: Vec<_> =
         before.iter().filter(|incarnation| world.traces.contains_key(incarnation)).collect();
     assert!(left.is_empty(), "{left:?}");
 });
 
-// Records of before name workers by their ids only. Taken for incarnations that are over, their runs would be
-// counted as lost and start again.
-case!(what_the_log_holds_by_ids_only_is_of_the_worker_that_is_there, world, {
+// Fault: older records identify workers by id alone. If the owner took them for ended incarnations, it would count
+// their runs as lost and start the tasks again.
+case!(records_without_a_start_apply_to_the_current_incarnation, world, {
     let id = world.submit(job(vec![StepSpec { estimate_ms: 4_000, ..step(8) }]));
     world.run(500);
     world.owner().awake = false;
@@ -195,25 +199,25 @@
 });
 
 #[test]
-fn workers_whose_entries_tell_no_start_are_used_and_known_to_start_anew() {
+fn restarts_of_workers_whose_entries_lack_a_start_are_detected() {
     let mut world = World::new(7, 4);
     world.untold = true;
     world.take_over();
-    busy(&mut world, 3_000);
+    submit_jobs(&mut world, 3_000);
     for _ in 0..2 {
         restart_all(&mut world);
-        let jobs = busy(&mut world, 3_000);
-        completed(&mut world, &jobs);
+        let jobs = submit_jobs(&mut world, 3_000);
+        assert_completed(&mut world, &jobs);
     }
     assert_eq!(world.judge.broken, Vec::<String>::new());
     assert!(world.judge.overlong.is_empty(), "{:?}", world.judge.overlong);
 }
 
 #[test]
-fn no_run_is_left_in_no_known_state() {
+fn no_run_stays_uncertain_after_restarts() {
     let mut world = World::new(7, 4);
     for _ in 0..3 {
-        busy(&mut world, 3_000);
+        submit_jobs(&mut world, 3_000);
         restart_all(&mut world);
     }
     world.run(15_000);
