--- a/crates/load/src/placing/mod.rs
+++ b/crates/load/src/placing/mod.rs
@@ -27,7 +27,7 @@
     out: PathBuf,
 }
 
-/// Runs both deployments and writes the report.
+/// Compares the policies on both sites, prints the report and writes it to `PLACING.md`.
 pub fn run(placing: &Placing) -> Result<bool, String> {
     let mut text = report::head(placing.seeds, placing.seconds);
     for site in [Site::GAS, Site::MARKET] {
--- a/crates/load/src/placing/sim.rs
+++ b/crates/load/src/placing/sim.rs
@@ -1,4 +1,4 @@
-//! One run of a placement policy, second by second.
+//! Simulation of a placement policy in ticks of 1 s.
 
 use std::collections::VecDeque;
 
@@ -8,43 +8,43 @@
     Sample, TaskRequest,
 };
 
-use super::world::{Coming, EVERY, KINDS, LAG, SERVICES, Site, Truth, WORKER};
+use super::world::{Arrival, KINDS, SAMPLE_INTERVAL, SAMPLE_LAG, SERVICES, Site, Truth, WORKER};
 
-/// Tasks that always wait, so that batch could fill everything.
+/// Pending tasks saved available, so that batch work could fill all machines.
 const BACKLOG: usize = 200;
 
-/// Pending tasks that find no machine before the rest is left for the next second.
-const MISSES: usize = 12;
+/// Pending tasks without a machine after which the rest waits for the next tick.
+const MAX_MISSES: usize = 12;
 
-/// Seconds between two checkpoints.
-const CHECKPOINT: f64 = 10.0;
+/// Seconds of work between two checkpoints.
+const CHECKPOINT_INTERVAL: f64 = 10.0;
 
-/// Watchers that a site has at most for each worker.
-const WATCHERS: usize = 3;
+/// The most watchers of a site for each worker.
+const MAX_WATCHERS: usize = 3;
 
-/// A way to place.
+/// A placement policy.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub enum Policy {
-    /// Learned costs, throttle before evict.
+    /// Learned interference costs, throttling before eviction.
     Learned,
-    /// The same without learning.
+    /// As `Learned`, but the costs are never updated.
     NoLearning,
     /// The first machine with room.
     FirstFit,
-    /// The fullest machine by declared size, filled at most to this part.
+    /// The fullest machine by declared size, filled at most to this share.
     BestFit(f64),
     /// The emptiest machine.
     LeastLoaded,
 }
 
-/// What came of a run.
+/// Figures of one simulation.
 #[derive(Debug, Default, Clone)]
 pub struct Outcome {
-    /// The part of the time in which services were within their targets.
+    /// The share of the time in which services were within their targets.
     pub within: f64,
-    /// The 99th percentile of the tail against the target.
+    /// The 99th percentile of tail latency over target.
     pub tail: f64,
-    /// Core-hours of batch work done.
+    /// Core-hours of completed batch work.
     pub work: f64,
     /// Evictions of batch tasks and watchers.
     pub evictions: u32,
@@ -55,14 +55,14 @@
 #[derive(Debug)]
 struct Task {
     id: u64,
-    coming: Coming,
+    arrival: Arrival,
     done: f64,
-    kept: f64,
+    saved: f64,
     percent: u8,
     avoid: Option<u32>,
 }
 
-struct Late {
+struct DelayedSample {
     due: u64,
     worker: usize,
     sample: Sample,
@@ -74,7 +74,7 @@
     running: Vec<Vec<Task>>,
     pending: VecDeque<Task>,
     relief: Vec<Relief>,
-    late: VecDeque<Late>,
+    delayed: VecDeque<DelayedSample>,
     learned: Learned,
     policy: Policy,
     next: u64,
@@ -83,7 +83,7 @@
     outcome: Outcome,
 }
 
-/// Runs a policy on a site for some seconds.
+/// Simulates a policy on a site for a number of seconds.
 pub fn simulate(policy: Policy, site: &Site, seed: u64, seconds: u64) -> Outcome {
     let truth = Truth::new(*site, seed);
     let machine = |n| Machine {
@@ -100,7 +100,7 @@
         running: (0..site.workers).map(|_| Vec::new()).collect(),
         pending: VecDeque::new(),
         relief: vec![Relief::default(); site.workers],
-        late: VecDeque::new(),
+        delayed: VecDeque::new(),
         learned: Learned::new(SERVICES, KINDS, seed),
         policy,
         next: 0,
@@ -110,65 +110,65 @@
         truth,
     };
     for now in 0..seconds {
-        sim.second(now, site);
+        sim.step(now, site);
     }
     sim.outcome()
 }
 
 impl Sim {
-    fn second(&mut self, now: u64, site: &Site) {
+    fn step(&mut self, now: u64, site: &Site) {
         self.truth.tick();
         while self.pending.len() < BACKLOG {
-            let coming = self.truth.coming(now);
-            if coming.work.is_none() {
-                if self.watchers >= WATCHERS * site.workers {
+            let arrival = self.truth.arrival(now);
+            if arrival.work.is_none() {
+                if self.watchers >= MAX_WATCHERS * site.workers {
                     continue;
                 }
                 self.watchers += 1;
             }
             let id = self.next;
             self.next += 1;
-            let task = Task { id, coming, done: 0.0, kept: 0.0, percent: 100, avoid: None };
+            let task = Task { id, arrival, done: 0.0, saved: 0.0, percent: 100, avoid: None };
             self.pending.push_back(task);
         }
         self.place();
         for worker in 0..site.workers {
-            self.work(worker);
+            self.advance(worker);
             self.measure(worker, now);
         }
-        while self.late.front().is_some_and(|l| l.due <= now) {
-            let late = self.late.pop_front().expect("it was there");
-            self.told(late);
+        while self.delayed.front().is_some_and(|l| l.due <= now) {
+            let delayed = self.delayed.pop_front().expect("the queue has a front");
+            self.observe(delayed);
         }
     }
 
     fn place(&mut self) {
         let mut misses = 0;
-        let mut kept = VecDeque::new();
+        let mut deferred = VecDeque::new();
         while let Some(task) = self.pending.pop_front() {
             let request = TaskRequest {
-                room: task.coming.room,
-                kind: task.coming.kind,
+                room: task.arrival.room,
+                kind: task.arrival.kind,
                 avoid: task.avoid,
                 urgent: false,
                 group: 0,
             };
-            match self.choose(&request).filter(|_| misses < MISSES) {
+            match self.choose(&request).filter(|_| misses < MAX_MISSES) {
                 Some(worker) => {
                     self.fleet.machines[worker as usize].add(&request.room, request.kind);
                     self.running[worker as usize].push(task);
                 }
                 None => {
                     misses += 1;
-                    kept.push_back(task);
+                    deferred.push_back(task);
                 }
             }
-            if misses >= MISSES {
+            if misses >= MAX_MISSES {
                 break;
             }
         }
-        kept.append(&mut self.pending);
-        self.pending = kept;
+        deferred.append(&mut self.pending);
+        self.pending = deferred;
     }
 
     fn choose(&mut self, request: &TaskRequest) -> Option<u32> {
@@ -183,7 +183,7 @@
         }
     }
 
-    /// The fleet without the machines that the task would fill beyond the cap.
+    /// Returns the fleet, closed to the task on machines that it would fill beyond the cap.
     fn capped(&self, request: &TaskRequest, cap: f64) -> Fleet {
         let mut fleet = self.fleet.clone();
         for machine in &mut fleet.machines {
@@ -193,67 +193,69 @@
         fleet
     }
 
-    fn work(&mut self, worker: usize) {
+    fn advance(&mut self, worker: usize) {
         let machine = &mut self.fleet.machines[worker];
         let outcome = &mut self.outcome;
         self.running[worker].retain_mut(|task| {
             task.done += f64::from(task.percent) / 100.0;
-            if task.done - task.kept >= CHECKPOINT {
-                task.kept = task.done;
+            if task.done - task.saved >= CHECKPOINT_INTERVAL {
+                task.saved = task.done;
             }
-            let over = task.coming.work.is_some_and(|w| task.done >= w);
+            let over = task.arrival.work.is_some_and(|w| task.done >= w);
             if over {
-                let cores = f64::from(task.coming.room.cpu) / 1000.0;
-                outcome.work += cores * task.coming.work.unwrap_or_default() / 3600.0;
-                machine.remove(&task.coming.room, task.coming.kind);
+                let cores = f64::from(task.arrival.room.cpu) / 1000.0;
+                outcome.work += cores * task.arrival.work.unwrap_or_default() / 3600.0;
+                machine.remove(&task.arrival.room, task.arrival.kind);
             }
             !over
         });
     }
 
     fn measure(&mut self, worker: usize, now: u64) {
-        let mut parts = [0.0; KINDS];
+        let mut shares = [0.0; KINDS];
         for task in &self.running[worker] {
-            let part = self.fleet.machines[worker].cpu_share(&task.coming.room);
-            parts[task.coming.kind as usize] += part * f64::from(task.percent) / 100.0;
+            let share = self.fleet.machines[worker].cpu_share(&task.arrival.room);
+            shares[task.arrival.kind as usize] += share * f64::from(task.percent) / 100.0;
         }
-        let tail = self.truth.tail(worker, now, &parts);
+        let tail = self.truth.tail(worker, now, &shares);
         self.tails.push(tail);
-        if !(now + worker as u64).is_multiple_of(EVERY) {
+        if !(now + worker as u64).is_multiple_of(SAMPLE_INTERVAL) {
             return;
         }
-        let tail = self.truth.measured(tail);
-        let parts = parts.iter().enumerate().filter(|p| *p.1 > 0.0);
-        let parts = parts.map(|(k, p)| (k as u16, *p)).collect();
+        let tail = self.truth.sampled(tail);
+        let by_kind = shares.iter().enumerate().filter(|p| *p.1 > 0.0);
+        let by_kind = by_kind.map(|(k, p)| (k as u16, *p)).collect();
         let sample =
-            Sample { service: self.truth.service(worker), shares: parts, tail_ratio: tail };
-        self.late.push_back(Late { due: now + LAG, worker, sample });
+            Sample { service: self.truth.service(worker), shares: by_kind, tail_ratio: tail };
+        self.delayed.push_back(DelayedSample { due: now + SAMPLE_LAG, worker, sample });
     }
 
-    /// A measurement is told: learn, then relieve.
-    fn told(&mut self, late: Late) {
-        self.fleet.machines[late.worker].tail_ratio = late.sample.tail_ratio;
+    /// Learns from a delayed sample, then throttles, lifts or evicts a neighbour if needed.
+    fn observe(&mut self, delayed: DelayedSample) {
+        self.fleet.machines[delayed.worker].tail_ratio = delayed.sample.tail_ratio;
         match self.policy {
-            Policy::Learned => self.learned.update(&late.sample),
+            Policy::Learned => self.learned.update(&delayed.sample),
             Policy::NoLearning => {}
-            // The baselines only place.
+            // The baselines only place; they neither throttle nor evict.
             _ => return,
         }
-        let service = late.sample.service;
-        let machine = &self.fleet.machines[late.worker];
-        let neighbours: Vec<Neighbour> = self.running[late.worker]
+        let service = delayed.sample.service;
+        let machine = &self.fleet.machines[delayed.worker];
+        let neighbours: Vec<Neighbour> = self.running[delayed.worker]
             .iter()
             .map(|t| Neighbour {
                 id: t.id,
-                price: t.coming.price,
-                slowdown: self.learned.costs().cost(service, t.coming.kind)
-                    * machine.cpu_share(&t.coming.room),
-                unsaved: Millis(((t.done - t.kept) * 1000.0) as u64),
-                watcher: t.coming.work.is_none(),
+                price: t.arrival.price,
+                slowdown: self.learned.costs().cost(service, t.arrival.kind)
+                    * machine.cpu_share(&t.arrival.room),
+                unsaved: Millis(((t.done - t.saved) * 1000.0) as u64),
+                watcher: t.arrival.work.is_none(),
             })
             .collect();
-        if let Some(act) = self.relief[late.worker].observe(late.sample.tail_ratio, &neighbours) {
-            self.act(late.worker, act);
+        if let Some(act) =
+            self.relief[delayed.worker].observe(delayed.sample.tail_ratio, &neighbours)
+        {
+            self.act(delayed.worker, act);
         }
     }
 
@@ -266,10 +268,10 @@
             Action::Lift(_) => running[at].percent = 100,
             Action::Evict(_) => {
                 let mut task = running.remove(at);
-                self.fleet.machines[worker].remove(&task.coming.room, task.coming.kind);
+                self.fleet.machines[worker].remove(&task.arrival.room, task.arrival.kind);
                 self.outcome.evictions += 1;
-                self.outcome.watchers += u32::from(task.coming.work.is_none());
-                task.done = task.kept;
+                self.outcome.watchers += u32::from(task.arrival.work.is_none());
+                task.done = task.saved;
                 task.percent = 100;
                 task.avoid = Some(worker as u32);
                 self.pending.push_back(task);
--- a/crates/load/src/policy/mod.rs
+++ b/crates/load/src/policy/mod.rs
@@ -30,7 +30,7 @@
     out: PathBuf,
 }
 
-/// Runs all scenes and writes the report.
+/// Simulates all scenes, prints the report and writes it with its plot.
 pub fn run(routing: &Routing) -> Result<bool, String> {
     let scenes = scenes(routing.upstreams, routing.seconds);
     let lines = lines(&scenes, routing.seeds);
--- a/crates/load/src/policy/report.rs
+++ b/crates/load/src/policy/report.rs
@@ -1,4 +1,4 @@
-//! The report on routing: tables and a plot.
+//! The report that compares routing policies: a table and a plot.
 
 use std::fmt::Write;
 use std::path::Path;
@@ -8,32 +8,32 @@
 use super::scene::{CLASSES, Scene};
 use super::sim::{Outcome, Policy, simulate};
 
-/// One policy in one scene: medians over the seeds, and the worst.
+/// Figures of one policy in one scene over all seeds.
 #[derive(Debug, Clone)]
 pub struct Line {
     /// The scene.
     pub scene: String,
     /// The policy.
     pub policy: Policy,
-    /// The 50th, 99th and 99.9th percentile of all answers, in microseconds.
+    /// Median 50th, 99th and 99.9th latency percentiles of all answers, in microseconds.
     pub latency: [u64; 3],
-    /// The worst 99th percentile of any seed.
+    /// The highest 99th percentile of any seed, in microseconds.
     pub worst: u64,
-    /// The 99th percentile by class.
+    /// The median 99th percentile by class, in microseconds.
     pub by_class: Vec<u64>,
-    /// The part answered within the deadline, by class.
+    /// The share of requests answered within the deadline, by class.
     pub good: Vec<f64>,
-    /// Answers within the deadline against what the slots can do.
+    /// Rate of answers within the deadline over the capacity of the slots.
     pub goodput: f64,
-    /// The part refused.
+    /// The share of requests refused.
     pub refused: f64,
     /// Attempts per request.
     pub attempts: f64,
-    /// The most requests at one upstream at once.
-    pub most: u32,
+    /// The most concurrent requests at one upstream.
+    pub max_busy: u32,
 }
 
-/// Runs every policy in every scene, each scene on a thread of its own.
+/// Simulates every policy in every scene, each scene on its own thread.
 pub fn lines(scenes: &[Scene], seeds: u64) -> Vec<Line> {
     std::thread::scope(|scope| {
         let run = |scene| {
@@ -45,19 +45,19 @@
             })
         };
         let threads: Vec<_> = scenes.iter().map(run).collect();
-        threads.into_iter().flat_map(|t| t.join().expect("a run panicked")).collect()
+        threads.into_iter().flat_map(|t| t.join().expect("simulation thread panicked")).collect()
     })
 }
 
-/// The figures as a table in Markdown.
+/// Formats the figures as a Markdown table.
 pub fn table(lines: &[Line], seeds: u64) -> String {
-    let mut text = String::from("# Routing: the gate's way against baselines\n\n");
+    let mut text = String::from("# Routing: the gate's policy against baselines\n\n");
     let _ = writeln!(
         text,
-        "Same seeded traces, virtual time, medians over {seeds} seeds. Load is against what the \
-         slots can do in the scene. `good` is the part of each class (dear, middle, cheap) \
-         answered within its deadline; `goodput` is all of it against what the slots can do. The \
-         baselines choose at once and queue at the upstream; they refuse nobody.\n\n\
+        "Same seeded traces, virtual time, medians over {seeds} seeds. Load is relative to the \
+         capacity of the slots in the scene. `good` is the share of each class (dear, middle, \
+         cheap) answered within its deadline; `goodput` is the rate of all such answers over that \
+         capacity. The baselines choose at once and queue at the upstream; they refuse nothing.\n\n\
          Made by `cargo run --release --locked -p myrtle-load -- routing`.\n"
     );
     text.push_str(
@@ -82,7 +82,7 @@
             line.goodput,
             line.refused * 100.0,
             line.attempts,
-            line.most,
+            line.max_busy,
         );
     }
     text
@@ -100,13 +100,13 @@
         lines.iter().step_by(Policy::ALL.len()).map(|l| l.scene.as_str()).collect();
     let root = SVGBackend::new(path, (900, 420)).into_drawing_area();
     root.fill(&WHITE)?;
-    let most = lines.iter().map(|l| l.latency[1] as f64 / 1000.0).fold(1.0, f64::max);
+    let top = lines.iter().map(|l| l.latency[1] as f64 / 1000.0).fold(1.0, f64::max);
     let mut chart = ChartBuilder::on(&root)
         .caption("99th percentile in ms", ("sans-serif", 18))
         .margin(10)
         .x_label_area_size(40)
         .y_label_area_size(60)
-        .build_cartesian_2d(0.0..scenes.len() as f64, (5.0..most * 1.5).log_scale())?;
+        .build_cartesian_2d(0.0..scenes.len() as f64, (5.0..top * 1.5).log_scale())?;
     let name = |x: &f64| scenes.get(*x as usize).map_or(String::new(), |s| s.to_string());
     chart
         .configure_mesh()
@@ -119,8 +119,8 @@
         let color = Palette99::pick(n).to_rgba();
         let bars = own.map(|(x, l)| {
             let left = x as f64 + 0.1 + 0.16 * n as f64;
-            let top = (l.latency[1] as f64 / 1000.0).max(5.0);
-            Rectangle::new([(left, 5.0), (left + 0.14, top)], color.filled())
+            let height = (l.latency[1] as f64 / 1000.0).max(5.0);
+            Rectangle::new([(left, 5.0), (left + 0.14, height)], color.filled())
         });
         chart
             .draw_series(bars)?
@@ -158,11 +158,11 @@
         goodput: total(|o| o.good.iter().sum()) / (scene.capacity() * seconds),
         refused: total(|o| o.refused.values().sum()) / offered,
         attempts: total(|o| o.attempts) / offered,
-        most: outcomes.iter().map(|o| o.most).max().unwrap_or_default(),
+        max_busy: outcomes.iter().map(|o| o.max_busy).max().unwrap_or_default(),
     }
 }
 
-/// A percentile over all classes.
+/// Returns a latency percentile over all classes, in microseconds.
 fn quantile(outcome: &Outcome, q: f64) -> u64 {
     let mut all = outcome.latency[0].clone();
     for other in &outcome.latency[1..] {
--- a/crates/load/src/policy/sim.rs
+++ b/crates/load/src/policy/sim.rs
@@ -1,4 +1,4 @@
-//! One run of a policy on a scene, event by event.
+//! Event-driven simulation of a routing policy in one scene.
 
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BinaryHeap, HashMap, VecDeque};
@@ -16,29 +16,33 @@
 
 use super::scene::{CLASSES, SLOTS, Scene};
 
-/// A safe request is tried elsewhere too after this many usual latencies, as in the gate.
-const PATIENCE: f64 = 2.5;
-const LEAST: Duration = Duration::from_millis(40);
-const ATTEMPTS: u32 = 3;
+/// Multiple of the usual latency after which a safe request is hedged, as in the gate.
+const HEDGE_FACTOR: f64 = 2.5;
 
-/// How long an abandoned attempt holds its slot, as in the gate.
+/// The shortest delay before a hedged attempt, as in the gate.
+const MIN_HEDGE_DELAY: Duration = Duration::from_millis(40);
+
+/// Most attempts of a request, as in the gate.
+const MAX_ATTEMPTS: u32 = 3;
+
+/// How long an attempt without an answer holds its slot, as in the gate.
 const ABANDONED: Duration = Duration::from_secs(30);
 
-/// Slots that a policy without admission thinks it has.
-const ENDLESS: u32 = 1 << 20;
+/// Slots of an upstream for policies without admission, in effect no limit.
+const UNLIMITED: u32 = 1 << 20;
 
-/// A way to route.
+/// A routing policy.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Policy {
-    /// The gate's own way: late choice by score, admission by price and deadline.
+    /// The gate's policy: hedge binding by score, admission by price and deadline.
     Own,
-    /// Any upstream, queueing there.
+    /// A random upstream, queueing there.
     Random,
-    /// One after the other, queueing there.
+    /// Each upstream in turn, queueing there.
     RoundRobin,
-    /// The one with the fewest requests, queueing there.
+    /// The upstream with the fewest requests, queueing there.
     LeastBusy,
-    /// The less busy of two, queueing there.
+    /// The less busy of two random upstreams, queueing there.
     TwoChoices,
 }
 
@@ -48,7 +52,7 @@
         [Policy::Own, Policy::Random, Policy::RoundRobin, Policy::LeastBusy, Policy::TwoChoices];
 }
 
-/// What came of a run.
+/// Figures of one simulation.
 #[derive(Debug)]
 pub struct Outcome {
     /// Latencies in microseconds by class.
@@ -61,23 +65,23 @@
     pub refused: BTreeMap<Kind, u64>,
     /// Attempts at upstreams.
     pub attempts: u64,
-    /// The most requests at one upstream at once.
-    pub most: u32,
+    /// The most concurrent requests at one upstream.
+    pub max_busy: u32,
 }
 
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 enum Event {
     Arrive,
-    /// An attempt of a request ends at its upstream; true if it failed.
-    End(u64, Ends),
-    /// A request has waited long enough for its newest attempt.
-    Late(u64, u32),
-    /// A slot of a stalled upstream is given up.
+    /// An attempt of the request with this id end at its upstream.
+    End(u64, AttemptEnd),
+    /// The request is hedged if this attempt is still its newest.
+    Hedge(u64, u32),
+    /// An attempt at a stalled upstream releases its slot.
     Abandon(u32),
 }
 
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
-struct Ends {
+struct AttemptEnd {
     upstream: u32,
     since: Duration,
     failed: bool,
@@ -86,7 +90,7 @@
 #[derive(Debug)]
 struct Request {
     class: usize,
-    came: Duration,
+    arrived_at: Duration,
     attempts: u32,
     running: u32,
 }
@@ -108,7 +112,7 @@
     outcome: Outcome,
 }
 
-/// Runs a policy on a scene.
+/// Simulates a policy in a scene.
 pub fn simulate(policy: Policy, scene: &Scene, seed: u64) -> Outcome {
     match policy {
         Policy::Own => Sim::new(scene, true, Scored, seed).run(),
@@ -124,10 +128,10 @@
         let mut table = Upstreams::new(choice, ChaCha8Rng::seed_from_u64(seed + 1000));
         for _ in 0..scene.upstreams {
             let upstream = table.add();
-            table.hold(upstream, if own { SLOTS } else { ENDLESS });
+            table.hold(upstream, if own { SLOTS } else { UNLIMITED });
         }
         let classes = CLASSES.len();
-        let fresh = || Histogram::new_with_max(120_000_000, 3).expect("the bounds are valid");
+        let histogram = || Histogram::new_with_max(120_000_000, 3).expect("the bounds are valid");
         Self {
             scene,
             own,
@@ -143,12 +147,12 @@
             next: 0,
             rng: ChaCha8Rng::seed_from_u64(seed),
             outcome: Outcome {
-                latency: (0..classes).map(|_| fresh()).collect(),
+                latency: (0..classes).map(|_| histogram()).collect(),
                 offered: vec![0; classes],
                 good: vec![0; classes],
                 refused: BTreeMap::new(),
                 attempts: 0,
-                most: 0,
+                max_busy: 0,
             },
         }
     }
@@ -159,9 +163,9 @@
             self.now = time;
             match event {
                 Event::Arrive => self.arrive(),
-                Event::End(id, ends) => self.end(id, ends),
-                Event::Late(id, attempts) => self.late(id, attempts),
-                Event::Abandon(upstream) => self.leave(upstream),
+                Event::End(id, end) => self.end(id, end),
+                Event::Hedge(id, attempts) => self.hedge(id, attempts),
+                Event::Abandon(upstream) => self.abandon(upstream),
             }
         }
         self.outcome
@@ -175,20 +179,20 @@
         self.at(self.now + gap, Event::Arrive);
         let mut roll: f64 = self.rng.random();
         let class = CLASSES.iter().position(|c| {
-            roll -= c.part;
+            roll -= c.share;
             roll <= 0.0
         });
         let class = class.unwrap_or(0);
         let id = self.next;
         self.next += 1;
         self.outcome.offered[class] += 1;
-        let came = self.now;
-        self.requests.insert(id, Request { class, came, attempts: 0, running: 0 });
+        let arrived_at = self.now;
+        self.requests.insert(id, Request { class, arrived_at, attempts: 0, running: 0 });
         self.budget.earn();
         self.enter(id, None);
     }
 
-    /// Gives a request a slot, a place to wait, or a refusal.
+    /// Starts, queues or refuses a request.
     fn enter(&mut self, id: u64, avoid: Option<u32>) {
         if !self.own {
             if let Some(ticket) = self.table.take(self.now, avoid, 1) {
@@ -199,7 +203,7 @@
         }
         let request = &self.requests[&id];
         let class = &CLASSES[request.class];
-        let deadline = request.came + class.deadline;
+        let deadline = request.arrived_at + class.deadline;
         let arrival = Arrival { id, party: 0, price: class.price, deadline };
         if self.admit.is_empty()
             && !self.admit.too_late(&arrival, self.now)
@@ -231,7 +235,7 @@
         dropped.into_iter().for_each(|d| self.refuse(d.id, d.kind));
     }
 
-    /// A baseline's upstream takes the next request from its queue.
+    /// Starts requests queued at a baseline's upstream while it has free slots.
     fn serve(&mut self, upstream: u32) {
         while self.running[upstream as usize] < SLOTS {
             let Some((id, ticket)) = self.queues[upstream as usize].pop_front() else { return };
@@ -243,67 +247,67 @@
         let upstream = ticket.upstream;
         let running = &mut self.running[upstream as usize];
         *running += 1;
-        self.outcome.most = self.outcome.most.max(*running);
+        self.outcome.max_busy = self.outcome.max_busy.max(*running);
         self.outcome.attempts += 1;
-        let (took, failed) = self.scene.serve(upstream, self.now, &mut self.rng);
-        // A baseline's score counts from the moment it was chosen.
-        let ends = Ends { upstream, since: ticket.since, failed };
-        match took {
-            Some(took) => self.at(self.now + took, Event::End(id, ends)),
+        let (time, failed) = self.scene.serve(upstream, self.now, &mut self.rng);
+        // With a baseline, latency counts from the choice of the upstream, queueing included.
+        let end = AttemptEnd { upstream, since: ticket.since, failed };
+        match time {
+            Some(time) => self.at(self.now + time, Event::End(id, end)),
             None => self.at(self.now + ABANDONED, Event::Abandon(upstream)),
         }
         let Some(request) = self.requests.get_mut(&id) else { return };
         request.attempts += 1;
         request.running += 1;
-        if self.own && request.attempts < ATTEMPTS {
+        if self.own && request.attempts < MAX_ATTEMPTS {
             let attempts = request.attempts;
-            let usual = self.table.common() * PATIENCE * f64::from(attempts);
-            let wait = Duration::from_secs_f64(usual).max(LEAST);
-            self.at(self.now + wait, Event::Late(id, attempts));
+            let usual = self.table.common() * HEDGE_FACTOR * f64::from(attempts);
+            let wait = Duration::from_secs_f64(usual).max(MIN_HEDGE_DELAY);
+            self.at(self.now + wait, Event::Hedge(id, attempts));
         }
     }
 
-    fn end(&mut self, id: u64, ends: Ends) {
-        let ticket = Ticket { upstream: ends.upstream, since: ends.since };
-        if ends.failed {
+    fn end(&mut self, id: u64, end: AttemptEnd) {
+        let ticket = Ticket { upstream: end.upstream, since: end.since };
+        if end.failed {
             self.table.failed(ticket, self.now, Fault::Bad);
         } else {
-            self.admit.served(self.now.saturating_sub(ends.since));
+            self.admit.served(self.now.saturating_sub(end.since));
             self.table.done(ticket, self.now);
         }
-        self.freed(ends.upstream);
+        self.slot_freed(end.upstream);
         let Some(request) = self.requests.get_mut(&id) else { return };
         request.running -= 1;
-        if !ends.failed {
+        if !end.failed {
             return self.answer(id);
         }
-        let again = request.attempts < ATTEMPTS && self.budget.spend();
-        if again {
-            return self.enter(id, Some(ends.upstream));
+        let retry = request.attempts < MAX_ATTEMPTS && self.budget.spend();
+        if retry {
+            return self.enter(id, Some(end.upstream));
         }
         if self.requests[&id].running == 0 {
             self.refuse(id, Kind::Unknown);
         }
     }
 
-    fn late(&mut self, id: u64, attempts: u32) {
+    fn hedge(&mut self, id: u64, attempts: u32) {
         let Some(request) = self.requests.get(&id) else { return };
         if request.attempts != attempts || request.running == 0 {
             return;
         }
-        let deadline = request.came + CLASSES[request.class].deadline;
+        let deadline = request.arrived_at + CLASSES[request.class].deadline;
         if self.now < deadline && self.admit.is_empty() && self.budget.spend() {
             self.enter(id, None);
         }
     }
 
-    /// A stalled attempt is given up by its upstream's gate.
-    fn leave(&mut self, upstream: u32) {
+    /// Fails a stalled attempt and releases its slot.
+    fn abandon(&mut self, upstream: u32) {
         self.table.failed(Ticket { upstream, since: self.now }, self.now, Fault::Bad);
-        self.freed(upstream);
+        self.slot_freed(upstream);
     }
 
-    fn freed(&mut self, upstream: u32) {
+    fn slot_freed(&mut self, upstream: u32) {
         self.running[upstream as usize] -= 1;
         match self.own {
             true => self.dispatch(),
@@ -313,14 +317,14 @@
 
     fn answer(&mut self, id: u64) {
         let Some(request) = self.requests.remove(&id) else { return };
-        let took = self.now - request.came;
+        let latency = self.now - request.arrived_at;
         let class = &CLASSES[request.class];
-        self.outcome.latency[request.class].saturating_record(took.as_micros() as u64);
-        self.outcome.good[request.class] += u64::from(took <= class.deadline);
+        self.outcome.latency[request.class].saturating_record(latency.as_micros() as u64);
+        self.outcome.good[request.class] += u64::from(latency <= class.deadline);
     }
 
     fn refuse(&mut self, id: u64, kind: Kind) {
-        // A further attempt was refused while an earlier one runs: that one may still answer.
+        // A hedged attempt was refused; an earlier attempt still runs and may answer.
         if self.requests.get(&id).is_some_and(|r| r.running > 0) {
             return;
         }
--- a/crates/load/tests/placing.rs
+++ b/crates/load/tests/placing.rs
@@ -1,4 +1,4 @@
-//! Bounds on placement, in virtual time on fixed seeds.
+//! Bounds on placement figures, simulated in virtual time with fixed seeds.
 
 use myrtle_load::placing::{Policy, Site, line};
 use rstest::rstest;
@@ -6,7 +6,7 @@
 #[rstest]
 #[case::gas(Site::GAS)]
 #[case::market(Site::MARKET)]
-fn services_keep_their_targets_while_batch_fills_the_rest(#[case] site: Site) {
+fn services_meet_targets_while_batch_uses_remaining_room(#[case] site: Site) {
     let run = |policy| line(policy, &site, 4, 900);
     let (learned, plain) = (run(Policy::Learned), run(Policy::NoLearning));
     let (least, best) = (run(Policy::LeastLoaded), run(Policy::BestFit(0.4)));
--- a/crates/load/tests/routing.rs
+++ b/crates/load/tests/routing.rs
@@ -1,4 +1,4 @@
-//! Bounds on routing, in virtual time on fixed seeds.
+//! Bounds on routing figures, simulated in virtual time with fixed seeds.
 
 use std::time::Duration;
 
@@ -25,7 +25,7 @@
 }
 
 #[test]
-fn noisy_neighbours_cost_little_at_80_percent() {
+fn gate_keeps_latency_low_beside_neighbours_at_80_percent_load() {
     let scene = scene(Noise::Neighbours, 0.8);
     for seed in 0..2 {
         let own = simulate(Policy::Own, &scene, seed);
@@ -34,21 +34,21 @@
         assert!(p99(&own) <= 0.5 * p99(&two), "{} of {}", p99(&own), p99(&two));
         assert!(p99(&own) <= 0.2 * p99(&robin), "{} of {}", p99(&own), p99(&robin));
         assert!((0..3).all(|c| good(&own, c) >= 0.999));
-        assert!(own.most <= 8);
+        assert!(own.max_busy <= 8);
     }
 }
 
 #[test]
-fn the_dearest_class_keeps_its_deadline_in_an_overload() {
+fn most_expensive_class_meets_deadlines_in_overload() {
     let scene = scene(Noise::Neighbours, 1.2);
     let own = simulate(Policy::Own, &scene, 0);
     assert!(good(&own, 0) >= 0.999, "{}", good(&own, 0));
     assert!(goodput(&scene, &own) >= 0.95, "{}", goodput(&scene, &own));
-    assert!(own.most <= 8);
+    assert!(own.max_busy <= 8);
 }
 
 #[test]
-fn an_upstream_that_fails_fast_draws_no_traffic() {
+fn upstream_that_fails_fast_attracts_no_traffic() {
     let scene = scene(Noise::Broken, 0.8);
     let own = simulate(Policy::Own, &scene, 0);
     assert!((0..3).all(|c| good(&own, c) >= 0.999));
@@ -57,7 +57,7 @@
 }
 
 #[test]
-fn a_burst_is_refused_early_and_the_dearest_class_served() {
+fn most_expensive_class_meets_deadlines_in_a_burst() {
     let own = simulate(Policy::Own, &scene(Noise::Burst, 0.5), 0);
     assert!(good(&own, 0) >= 0.999, "{}", good(&own, 0));
 }
