--- a/crates/load/src/overload/draw.rs
+++ b/crates/load/src/overload/draw.rs
@@ -1,4 +1,4 @@
-//! Jobs as customers of a large fleet hand them in.
+//! Random jobs that resemble those of a large fleet's customers.
 
 use rand::RngExt;
 use rand_chacha::ChaCha8Rng;
@@ -9,24 +9,24 @@
 
 use super::scene::{Pattern, Scene};
 
-/// What a job is for.
+/// Kind of job.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize)]
 pub enum Kind {
-    /// Short tasks that somebody waits for.
+    /// Short tasks whose results users wait for.
     Short,
-    /// Tasks that take the processors which others leave.
+    /// Fillers, which use only processors that other tasks leave idle.
     Filling,
-    /// Tasks that serve users until the job is taken back.
+    /// Long-running tasks, which serve users until the job is cancelled.
     Lasting,
 }
 
-/// How jobs of a kind look; figures are means.
+/// Distribution of jobs of a kind; figures are means.
 struct Shape {
-    /// Jobs a second, for each worker of the cell.
+    /// Jobs per second for each worker of the cell.
     rate: f64,
     steps: f64,
     width: f64,
-    widest: u16,
+    max_width: u16,
     cpu: f64,
     mem: u32,
     estimate: f64,
@@ -39,7 +39,7 @@
     /// All kinds.
     pub const ALL: [Kind; 3] = [Kind::Short, Kind::Filling, Kind::Lasting];
 
-    /// What a job of mean work is worth.
+    /// Returns the credit for a job of mean size.
     pub fn worth(self) -> f64 {
         match self {
             Self::Short => 0.354,
@@ -48,8 +48,8 @@
         }
     }
 
-    /// What a job of mean size asks for, in thousandths of a core for a millisecond; for lasting ones
-    /// in thousandths of a core.
+    /// Returns the mean size of a job, in thousandths of a core times milliseconds; for long-running
+    /// jobs in thousandths of a core.
     pub fn mean(self) -> f64 {
         let Shape { steps, width, cpu, estimate, .. } = self.shape();
         steps * width * cpu * if self == Self::Lasting { 1.0 } else { estimate }
@@ -61,7 +61,7 @@
                 rate: 0.030,
                 steps: 1.6,
                 width: 9.4,
-                widest: 56,
+                max_width: 56,
                 cpu: 6_400.0,
                 mem: 13_000,
                 estimate: 640.0,
@@ -73,7 +73,7 @@
                 rate: 0.029,
                 steps: 2.0,
                 width: 39.0,
-                widest: 160,
+                max_width: 160,
                 cpu: 3_500.0,
                 mem: 6_400,
                 estimate: 1_700.0,
@@ -85,7 +85,7 @@
                 rate: 0.0011,
                 steps: 1.0,
                 width: 24.0,
-                widest: 48,
+                max_width: 48,
                 cpu: 6_400.0,
                 mem: 13_000,
                 estimate: 400.0,
@@ -97,33 +97,34 @@
     }
 }
 
-/// The text of jobs whose first task crashes its workers.
-pub const CRASHES: &str = "crashes";
+/// Body of jobs whose first task crashes its workers.
+pub const CRASHING_BODY: &str = "crashes";
 
-/// Images of serving tasks, and of filling ones.
+/// Number of images of serving tasks and of fillers.
 pub const IMAGES: [usize; 2] = [16, 30];
 
-/// A figure that scatters around its mean.
-fn around(rng: &mut ChaCha8Rng, mean: f64, spread: f64) -> f64 {
+/// Samples a roughly log-normal distribution with this mean.
+fn log_normal(rng: &mut ChaCha8Rng, mean: f64, spread: f64) -> f64 {
     let normal: f64 = (0..12).map(|_| rng.random::<f64>()).sum::<f64>() - 6.0;
     mean * (normal * spread - spread * spread / 2.0).exp()
 }
 
-/// A job of a kind; of the largest width if it is to be wide.
+/// Draws a job of a kind, with steps of the greatest width if `wide`.
 pub fn submission(rng: &mut ChaCha8Rng, kind: Kind, wide: bool, now: u64) -> Submission {
     let shape = kind.shape();
-    let count = around(rng, shape.steps, 0.4).round().clamp(1.0, 4.0) as usize;
-    let estimate = around(rng, shape.estimate, 0.5).clamp(50.0, 2.5 * shape.estimate);
-    let cpu = around(rng, shape.cpu, 0.3).clamp(500.0, 3.0 * shape.cpu) as u32;
+    let count = log_normal(rng, shape.steps, 0.4).round().clamp(1.0, 4.0) as usize;
+    let estimate = log_normal(rng, shape.estimate, 0.5).clamp(50.0, 2.5 * shape.estimate);
+    let cpu = log_normal(rng, shape.cpu, 0.3).clamp(500.0, 3.0 * shape.cpu) as u32;
     let image = match kind {
         Kind::Short => None,
         Kind::Filling => Some(format!("filling-{}", rng.random_range(0..IMAGES[1])).into()),
         Kind::Lasting => Some(format!("serving-{}", rng.random_range(0..IMAGES[0])).into()),
     };
     let steps = (0..count).map(|step| {
-        let width = around(rng, shape.width, 0.6).round().clamp(1.0, f64::from(shape.widest));
+        let width =
+            log_normal(rng, shape.width, 0.6).round().clamp(1.0, f64::from(shape.max_width));
         StepSpec {
-            count: if wide { shape.widest } else { width as u16 },
+            count: if wide { shape.max_width } else { width as u16 },
             room: Room { cpu, mem: shape.mem, accel: 0 },
             estimate_ms: estimate as u64,
             after: if step == 0 { vec![] } else { vec![step as u16 - 1] },
@@ -149,20 +150,20 @@
     Submission { policy, spec: JobSpec { body: "b".into(), steps, repeat: None }, accepted_at: now }
 }
 
-/// What all tasks of a job ask for, in thousandths of a core.
-pub fn asked(submission: &Submission) -> f64 {
+/// Returns what all tasks of a job request, in thousandths of a core.
+pub fn requested_cpu(submission: &Submission) -> f64 {
     let steps = submission.spec.steps.iter();
     steps.map(|s| f64::from(s.count) * f64::from(s.room.cpu)).sum()
 }
 
-/// Every job of a scene with the moment at which it comes, in milliseconds; `cores` is the room of the
-/// cell, in thousandths of a core.
+/// Draws the jobs of a scene, each with its arrival time in milliseconds; `cores` is the room of the
+/// cell in thousandths of a core.
 pub fn jobs(scene: &Scene, cores: f64, rng: &mut ChaCha8Rng) -> Vec<(u64, Kind, Submission)> {
     let mut jobs = Vec::new();
-    fill(&mut jobs, rng, cores * scene.lasting, 100);
+    add_serving(&mut jobs, rng, cores * scene.lasting, 100);
     for pattern in &scene.patterns {
         match *pattern {
-            Pattern::Wave { at, share } => fill(&mut jobs, rng, cores * share, millis(at)),
+            Pattern::Wave { at, share } => add_serving(&mut jobs, rng, cores * share, millis(at)),
             Pattern::Wide { at, jobs: count } => {
                 for _ in 0..count {
                     let job = submission(rng, Kind::Filling, true, millis(at));
@@ -173,7 +174,7 @@
                 for job in 0..count {
                     let at = millis(at + span * f64::from(job) / f64::from(count));
                     let mut submission = submission(rng, Kind::Short, false, at);
-                    submission.spec.body = CRASHES.into();
+                    submission.spec.body = CRASHING_BODY.into();
                     jobs.push((at, Kind::Short, submission));
                 }
             }
@@ -192,22 +193,22 @@
     jobs
 }
 
-/// Lasting jobs that ask for so much together, in thousandths of a core.
-fn fill(jobs: &mut Vec<(u64, Kind, Submission)>, rng: &mut ChaCha8Rng, share: f64, at: u64) {
+/// Adds long-running jobs until they request `share` together, in thousandths of a core.
+fn add_serving(jobs: &mut Vec<(u64, Kind, Submission)>, rng: &mut ChaCha8Rng, share: f64, at: u64) {
     let mut sum = 0.0;
     while sum < share {
         let job = submission(rng, Kind::Lasting, false, at);
-        sum += asked(&job);
+        sum += requested_cpu(&job);
         jobs.push((at, Kind::Lasting, job));
     }
 }
 
-/// Seconds as whole milliseconds.
+/// Converts seconds to whole milliseconds.
 pub fn millis(seconds: f64) -> u64 {
     (seconds * 1_000.0) as u64
 }
 
-/// The latency objective of a job, in milliseconds.
+/// Returns the latency objective of a job, in milliseconds.
 pub fn objective(submission: &Submission) -> u64 {
     let chain = submission.spec.critical_path(|_| false);
     (submission.policy.stretch * chain as f64) as u64 + submission.policy.slack_ms
--- a/crates/load/src/overload/fleet.rs
+++ b/crates/load/src/overload/fleet.rs
@@ -1,4 +1,4 @@
-//! Workers come, leave and are back, as the scene says.
+//! Joining and leaving workers and evacuated data centres, as a scene's patterns say.
 
 use myrtle_base::Room;
 use myrtle_job::{Incarnation, Listing, Replacement};
@@ -8,15 +8,15 @@
 use super::scene::Pattern;
 use super::sim::{STEP, Sim};
 
-/// The data centres, in which workers are spread evenly; the first is the one that is emptied.
+/// The data centres, with workers spread evenly; patterns evacuate the first.
 const CENTRES: [&str; 3] = ["x", "y", "z"];
 
 impl Sim<'_> {
-    /// A worker comes.
+    /// Adds a worker with a new id.
     pub(super) fn add(&mut self) {
-        let number = self.lives;
-        self.lives += 1;
-        // One of three is half as large again.
+        let number = self.next_worker;
+        self.next_worker += 1;
+        // One worker in three has half as many cores again.
         let cpu = if number.is_multiple_of(3) { 48_000 } else { 32_000 };
         let listing = Listing {
             service: "s".into(),
@@ -34,14 +34,15 @@
         self.machines.insert(Incarnation::new(format!("w{number}"), 0), Machine::new(listing));
     }
 
-    /// What the scene says comes to pass.
-    pub(super) fn happen(&mut self) {
+    /// Applies the scene's patterns that concern workers and data centres.
+    pub(super) fn apply_patterns(&mut self) {
         let now = self.now;
         let due = |at: f64| (now - STEP..now).contains(&millis(at));
         for pattern in &self.scene.patterns {
             if let Pattern::Empty { at, span } = *pattern {
-                self.emptied = (millis(at)..millis(at + span)).contains(&now).then_some(CENTRES[0]);
-                let centres = self.emptied.map(String::from).into_iter().collect();
+                self.evacuated =
+                    (millis(at)..millis(at + span)).contains(&now).then_some(CENTRES[0]);
+                let centres = self.evacuated.map(String::from).into_iter().collect();
                 self.cell.evacuate_centres(&centres);
             }
             let Pattern::Leave { at, share, back } = *pattern else {
--- a/crates/load/src/overload/machine.rs
+++ b/crates/load/src/overload/machine.rs
@@ -1,4 +1,4 @@
-//! A worker whose tasks share what its room does not show.
+//! Model of a worker whose tasks slow each other beyond what their rooms show.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -11,56 +11,59 @@
 
 use super::draw::IMAGES;
 
-/// What a serving task loads of what it asks for, in the mean, and how far that swings.
-const LOAD: f64 = 0.48;
-const SWING: f64 = 0.5;
+/// Mean load of a serving task, as a share of the processors it requests.
+const MEAN_LOAD: f64 = 0.48;
 
-/// The time of one swing, in milliseconds.
+/// Amplitude of the load cycle, as a share of the mean load.
+const AMPLITUDE: f64 = 0.5;
+
+/// Period of the load cycle, in milliseconds.
 const PERIOD: f64 = 20_000.0;
 
-/// The tail over its target of a serving task without any load.
-const REST: f64 = 1.0 / 6.0;
+/// Ratio of tail latency to target of a serving task without load.
+const IDLE_RATIO: f64 = 1.0 / 6.0;
 
-/// The most that pressures are told apart.
-const FULL: f64 = 0.97;
+/// Pressure above which the tail latency no longer grows, so that it stays finite.
+const MAX_PRESSURE: f64 = 0.97;
 
-/// The share of pairs of images that press heavily.
-const HEAVY: f64 = 0.55;
+/// Share of pairs of images with strong interference.
+const STRONG_SHARE: f64 = 0.55;
 
-/// A run.
+/// A run on the modelled worker.
 #[derive(Debug, Clone)]
 struct Work {
     run: u32,
     spec: StepSpec,
-    worked: f64,
-    pace: f64,
-    /// Where its load is in its swing, in milliseconds.
+    progress: f64,
+    /// Speed limit, as a share of full speed.
+    limit: f64,
+    /// Offset in the load cycle, in milliseconds.
     phase: f64,
-    over: bool,
+    above_target: bool,
 }
 
-/// A worker.
+/// A modelled worker.
 #[derive(Debug)]
 pub struct Machine {
-    /// What it says of itself.
+    /// The listing that the worker publishes.
     pub listing: Listing,
-    /// Whether it has ends to tell.
-    pub news: bool,
+    /// Whether runs ended since the last lease renewal.
+    pub has_new_ends: bool,
     runs: BTreeMap<TaskId, Work>,
     ended: Vec<EndedRun>,
-    ends: u64,
+    last_seq: u64,
 }
 
-/// How much a filling image that uses a whole worker presses a serving one.
-pub type Presses = BTreeMap<(Arc<str>, Arc<str>), f64>;
+/// Pressure on a serving image by a filler image that uses a whole worker, by that pair of images.
+pub type Interference = BTreeMap<(Arc<str>, Arc<str>), f64>;
 
 impl Machine {
-    /// A worker without runs.
+    /// Creates a worker without runs.
     pub fn new(listing: Listing) -> Self {
-        Self { listing, news: false, runs: BTreeMap::new(), ended: Vec::new(), ends: 0 }
+        Self { listing, has_new_ends: false, runs: BTreeMap::new(), ended: Vec::new(), last_seq: 0 }
     }
 
-    /// Starts a run.
+    /// Starts a run if the worker has room for it.
     pub fn start(&mut self, task: TaskId, run: u32, spec: &StepSpec) -> OrderReply {
         let used = self.runs.values().fold(Room::default(), |sum, w| sum + w.spec.claim());
         if !spec.claim().fits(&self.listing.room.minus(&used)) {
@@ -70,52 +73,52 @@
         let work = Work {
             run,
             spec: spec.clone(),
-            worked: 0.0,
-            pace: 1.0,
+            progress: 0.0,
+            limit: 1.0,
             phase: phase as f64,
-            over: false,
+            above_target: false,
         };
         self.runs.insert(task, work);
         OrderReply::Done
     }
 
-    /// Stops a run.
+    /// Stops a run if it is current.
     pub fn stop(&mut self, task: TaskId, run: u32) {
         if self.runs.get(&task).is_some_and(|w| w.run == run) {
-            self.over(task, EndReason::Stopped);
+            self.finish(task, EndReason::Stopped);
         }
     }
 
-    /// Lets a run work at a share of its speed, in percent.
-    pub fn pace(&mut self, task: TaskId, run: u32, percent: u32) {
+    /// Sets the speed limit of a run, in percent of full speed.
+    pub fn throttle(&mut self, task: TaskId, run: u32, percent: u32) {
         if let Some(work) = self.runs.get_mut(&task).filter(|w| w.run == run) {
-            work.pace = f64::from(percent) / 100.0;
+            work.limit = f64::from(percent) / 100.0;
         }
     }
 
-    /// Lets time pass, in milliseconds.
-    pub fn work(&mut self, now: u64, passed: f64, presses: &Presses) {
+    /// Advances all runs by `passed` milliseconds.
+    pub fn work(&mut self, now: u64, passed: f64, interference: &Interference) {
         let share = self.filling_share(now);
         let uses = self.uses(share);
         let mut done = Vec::new();
         for (&task, work) in &mut self.runs {
             if work.spec.serves() {
-                work.over = pressure(work, &uses, presses, now) > 1.0 - REST;
+                work.above_target = pressure(work, &uses, interference, now) > 1.0 - IDLE_RATIO;
                 continue;
             }
-            let speed = if work.spec.filler { share * work.pace } else { 1.0 };
-            work.worked += passed * speed;
-            if !work.spec.long_running && work.worked >= work.spec.estimate_ms as f64 {
+            let speed = if work.spec.filler { share * work.limit } else { 1.0 };
+            work.progress += passed * speed;
+            if !work.spec.long_running && work.progress >= work.spec.estimate_ms as f64 {
                 done.push(task);
             }
         }
-        done.into_iter().for_each(|task| self.over(task, EndReason::Done));
+        done.into_iter().for_each(|task| self.finish(task, EndReason::Done));
     }
 
-    /// The answer to a hold; ends up to `seen` are forgotten.
-    pub fn hold(&mut self, seen: u64, now: u64, presses: &Presses) -> WorkerRuns {
+    /// Answers a lease renewal and drops ended runs up to the sequence number `seen`.
+    pub fn renew(&mut self, seen: u64, now: u64, interference: &Interference) -> WorkerRuns {
         self.ended.retain(|end| end.seq > seen);
-        self.news = false;
+        self.has_new_ends = false;
         let share = self.filling_share(now);
         let uses = self.uses(share);
         let running = self.runs.iter().map(|(&task, work)| Running {
@@ -124,13 +127,14 @@
             checkpoint: String::new(),
             percent: match work.spec.long_running {
                 true => 100.0,
-                false => (work.worked / work.spec.estimate_ms.max(1) as f64 * 100.0).min(99.0),
+                false => (work.progress / work.spec.estimate_ms.max(1) as f64 * 100.0).min(99.0),
             },
             metric: Some(match work.spec.target_ms {
                 Some(target) => {
-                    f64::from(target) * REST / (1.0 - pressure(work, &uses, presses, now).min(FULL))
+                    f64::from(target) * IDLE_RATIO
+                        / (1.0 - pressure(work, &uses, interference, now).min(MAX_PRESSURE))
                 }
-                None if work.spec.filler => f64::from(work.spec.room.cpu) * share * work.pace,
+                None if work.spec.filler => f64::from(work.spec.room.cpu) * share * work.limit,
                 None => f64::from(work.spec.room.cpu),
             }),
         });
@@ -142,75 +146,80 @@
         }
     }
 
-    /// How many tasks of a job serve, and how many of them are over their target.
-    pub fn serving(&self, job: myrtle_job::JobId) -> (usize, usize) {
+    /// Returns the number of a job's serving tasks, and of those above their latency target.
+    pub fn serving_tasks(&self, job: myrtle_job::JobId) -> (usize, usize) {
         let of_job = self.runs.iter().filter(|(task, _)| task.job == job);
-        of_job.fold((0, 0), |(up, over), (_, w)| (up + 1, over + usize::from(w.over)))
+        of_job.fold((0, 0), |(up, late), (_, w)| (up + 1, late + usize::from(w.above_target)))
     }
 
-    /// The share of what they ask for that fillers get.
+    /// Returns the share of their requested processors that fillers get.
     fn filling_share(&self, now: u64) -> f64 {
         let room = f64::from(self.listing.room.cpu);
-        let (taken, asked) = self.runs.values().fold((0.0, 0.0), |(taken, asked), work| {
+        let (taken, requested) = self.runs.values().fold((0.0, 0.0), |(taken, requested), work| {
             let cpu = f64::from(work.spec.room.cpu);
             match (work.spec.filler, work.spec.serves()) {
-                (true, _) => (taken, asked + cpu * work.pace),
-                (_, true) => (taken + cpu * load(work, now), asked),
-                _ => (taken + cpu, asked),
+                (true, _) => (taken, requested + cpu * work.limit),
+                (_, true) => (taken + cpu * load(work, now), requested),
+                _ => (taken + cpu, requested),
             }
         });
-        if asked > 0.0 { ((room - taken).max(0.0) / asked).min(1.0) } else { 1.0 }
+        if requested > 0.0 { ((room - taken).max(0.0) / requested).min(1.0) } else { 1.0 }
     }
 
-    /// What filling images use, as shares of the worker.
+    /// Returns the processors that each filler image uses, as a share of the worker.
     fn uses(&self, share: f64) -> BTreeMap<Arc<str>, f64> {
         let mut uses = BTreeMap::new();
         for work in self.runs.values().filter(|w| w.spec.filler) {
-            let used = f64::from(work.spec.room.cpu) * share * work.pace;
+            let used = f64::from(work.spec.room.cpu) * share * work.limit;
             let image = work.spec.image.clone().unwrap_or_else(|| "".into());
             *uses.entry(image).or_default() += used / f64::from(self.listing.room.cpu);
         }
         uses
     }
 
-    fn over(&mut self, task: TaskId, how: EndReason) {
+    fn finish(&mut self, task: TaskId, how: EndReason) {
         let Some(work) = self.runs.remove(&task) else {
             return;
         };
-        self.ends += 1;
-        self.news = true;
-        let (number, run, saved) = (self.ends, work.run, String::new());
+        self.last_seq += 1;
+        self.has_new_ends = true;
+        let (number, run, saved) = (self.last_seq, work.run, String::new());
         self.ended.push(EndedRun { seq: number, task, run, reason: how, checkpoint: saved });
     }
 }
 
-/// The load of a serving task, as a share of what it asks for.
+/// Returns the load of a serving task, as a share of the processors it requests.
 fn load(work: &Work, now: u64) -> f64 {
-    let turn = (now as f64 + work.phase) / PERIOD * std::f64::consts::TAU;
-    LOAD * (1.0 + SWING * turn.sin())
+    let angle = (now as f64 + work.phase) / PERIOD * std::f64::consts::TAU;
+    MEAN_LOAD * (1.0 + AMPLITUDE * angle.sin())
 }
 
-fn pressure(work: &Work, uses: &BTreeMap<Arc<str>, f64>, presses: &Presses, now: u64) -> f64 {
+fn pressure(
+    work: &Work,
+    uses: &BTreeMap<Arc<str>, f64>,
+    interference: &Interference,
+    now: u64,
+) -> f64 {
     let own = work.spec.image.clone().unwrap_or_else(|| "".into());
-    let pressed = uses.iter().map(|(image, used)| {
-        presses.get(&(own.clone(), image.clone())).copied().unwrap_or(0.0) * used
+    let slowed = uses.iter().map(|(image, used)| {
+        interference.get(&(own.clone(), image.clone())).copied().unwrap_or(0.0) * used
     });
-    load(work, now) + pressed.sum::<f64>()
+    load(work, now) + slowed.sum::<f64>()
 }
 
-/// How much filling images press serving ones.
-pub fn draw_presses(rng: &mut ChaCha8Rng) -> Presses {
-    let mut presses = Presses::new();
+/// Draws the interference of each pair of a serving and a filler image.
+pub fn draw_interference(rng: &mut ChaCha8Rng) -> Interference {
+    let mut interference = Interference::new();
     for serving in 0..IMAGES[0] {
         for filling in 0..IMAGES[1] {
-            let press = if rng.random_bool(HEAVY) {
+            let cost = if rng.random_bool(STRONG_SHARE) {
                 rng.random_range(0.4..1.6)
             } else {
                 rng.random_range(0.0..0.15)
             };
             let pair = (format!("serving-{serving}").into(), format!("filling-{filling}").into());
-            presses.insert(pair, press);
+            interference.insert(pair, cost);
         }
     }
-    presses
+    interference
 }
--- a/crates/load/src/overload/mod.rs
+++ b/crates/load/src/overload/mod.rs
@@ -1,7 +1,7 @@
-//! Replays load at its worst against the real owner of a cell, in virtual time.
+//! Simulates extreme load against the real owner of a cell, in virtual time.
 //!
-//! Jobs are drawn, workers are modelled, the owner is the one that ships. Each pattern of load is one
-//! that made users wait; what was earned is told by kind and size of job, with the age of what waits.
+//! Jobs are random, workers are modelled, and the owner is the shipped code. Each pattern of load once
+//! made users wait; the report has the credit earned by kind of job, and latencies of short jobs.
 
 mod crash;
 mod credit;
@@ -20,14 +20,14 @@
 pub use scene::{Pattern, Scene};
 pub use sim::{Outcome, replay};
 
-/// Replays load at its worst against the owner of a cell.
+/// Simulates extreme load against the owner of a cell.
 #[derive(FromArgs)]
 #[argh(subcommand, name = "overload")]
 pub struct Overload {
-    /// how many draws of each pattern (10)
+    /// seeds for each scene (10)
     #[argh(option, default = "10")]
     seeds: u64,
-    /// how many workers the cell has (60)
+    /// workers of the cell (60)
     #[argh(option, default = "60")]
     workers: u16,
     /// print JSON in place of a table
@@ -35,11 +35,11 @@
     json: bool,
 }
 
-/// Runs the command; always true, since nothing is judged.
+/// Runs the command; always `Ok(true)`, since it checks no figure.
 ///
 /// # Errors
 ///
-/// The figures can't be written as JSON.
+/// Fails if the figures can't be serialized as JSON.
 pub fn run(args: &Overload) -> Result<bool, String> {
     let lines = lines(&Scene::all(args.workers), args.seeds);
     match args.json {
--- a/crates/load/src/overload/report.rs
+++ b/crates/load/src/overload/report.rs
@@ -1,4 +1,4 @@
-//! What the scenes came to, as a table or as JSON.
+//! The report on overload scenes, as a table or as JSON.
 
 use std::fmt::Write;
 
@@ -8,26 +8,26 @@
 use super::scene::Scene;
 use super::sim::{Outcome, replay};
 
-/// A scene over all draws.
+/// Figures of a scene over all seeds.
 #[derive(Debug, Clone, Serialize)]
 pub struct Line {
     /// The scene.
     pub scene: &'static str,
-    /// The share of all credit that was earned: mean, least and greatest of the draws.
+    /// Share of the possible credit that was earned: mean, minimum and maximum over the seeds.
     pub all: [f64; 3],
-    /// The mean share by kind of job.
+    /// The mean share earned by each kind of job.
     pub kinds: Vec<(Kind, f64)>,
-    /// How long short jobs took, 50 and 95 of 100 of them, in milliseconds; means of the draws.
+    /// The 50th and 95th latency percentiles of short jobs in milliseconds, means over the seeds.
     pub short: [f64; 2],
-    /// The most tasks that waited at once; mean of the draws.
+    /// The peak number of waiting tasks, mean over the seeds.
     pub waiting: f64,
-    /// Starts that were taken back, as a share of all; mean of the draws.
+    /// Starts whose task was moved, as a share of all starts, mean over the seeds.
     pub vain: f64,
-    /// Workers that crashed by what they had started; mean of the draws.
+    /// Crashes of workers, mean over the seeds.
     pub crashed: f64,
 }
 
-/// Plays every scene so many times, each on a thread of its own.
+/// Simulates every scene with all seeds, each scene on its own thread.
 pub fn lines(scenes: &[Scene], seeds: u64) -> Vec<Line> {
     std::thread::scope(|scope| {
         let run = |scene| {
@@ -37,7 +37,7 @@
             })
         };
         let threads: Vec<_> = scenes.iter().map(run).collect();
-        threads.into_iter().map(|t| t.join().expect("a course panicked")).collect()
+        threads.into_iter().map(|t| t.join().expect("simulation thread panicked")).collect()
     })
 }
 
@@ -46,25 +46,25 @@
         outcomes.iter().map(of).sum::<f64>() / outcomes.len().max(1) as f64
     };
     let shares = || outcomes.iter().map(|o| o.account.all().share());
-    let least = shares().fold(f64::INFINITY, f64::min);
-    let most = shares().fold(f64::NEG_INFINITY, f64::max);
+    let min = shares().fold(f64::INFINITY, f64::min);
+    let max = shares().fold(f64::NEG_INFINITY, f64::max);
     let kinds = Kind::ALL.map(|kind| (kind, mean(&|o| o.account.of(kind).share())));
     let wait = |quantile| mean(&|o| o.account.wait(Kind::Short, quantile) as f64);
     Line {
         scene: scene.name,
-        all: [mean(&|o| o.account.all().share()), least, most],
+        all: [mean(&|o| o.account.all().share()), min, max],
         kinds: kinds.to_vec(),
         short: [wait(0.5), wait(0.95)],
         waiting: mean(&|o| o.waiting as f64),
-        vain: mean(&|o| o.vain),
+        vain: mean(&|o| o.moved_share),
         crashed: mean(&|o| f64::from(o.crashed)),
     }
 }
 
-/// The figures as a table in Markdown.
+/// Formats the figures as a Markdown table.
 pub fn table(lines: &[Line], seeds: u64) -> String {
     let mut text =
-        format!("Shares of the credit owed, means of {seeds} draws (least to greatest).\n\n");
+        format!("Shares of the possible credit, means of {seeds} seeds (minimum to maximum).\n\n");
     text.push_str("| scene | all | short | filling | lasting | short p50, p95 ms | most waiting | taken back | crashed |\n");
     text.push_str("|---|---|---|---|---|---|---|---|---|\n");
     for line in lines {
--- a/crates/load/src/overload/scene.rs
+++ b/crates/load/src/overload/scene.rs
@@ -1,84 +1,84 @@
-//! Patterns of load, each one that made users wait.
+//! Patterns of load and faults, each of which once made users wait.
 
 use serde::Serialize;
 
-/// Something that happens to the load or to the room for it; times are in seconds.
+/// A change of the load or of the room for it; times are in seconds.
 #[derive(Debug, Clone, Copy, PartialEq, Serialize)]
 pub enum Pattern {
-    /// So many times the usual jobs come.
+    /// Jobs arrive at a multiple of the usual rate.
     Burst {
-        /// From when on.
+        /// The start.
         at: f64,
-        /// For how long.
+        /// The duration.
         span: f64,
-        /// How many times the usual rate.
+        /// Factor on the usual rate.
         times: f64,
     },
-    /// Jobs of the largest width come at once.
+    /// Fillers of the greatest width arrive at once.
     Wide {
-        /// When.
+        /// The time.
         at: f64,
-        /// How many.
+        /// Number of jobs.
         jobs: u32,
     },
-    /// More lasting jobs come at once than there is room for.
+    /// More long-running jobs arrive at once than there is room for.
     Wave {
-        /// When.
+        /// The time.
         at: f64,
-        /// What they ask for, as a share of the cell.
+        /// Requested cores, as a share of the cell.
         share: f64,
     },
-    /// Workers say that they leave, and are back later with another life.
+    /// Workers drain and leave; as many new ones join later.
     Leave {
-        /// When.
+        /// The time.
         at: f64,
-        /// How many of them, as a share.
+        /// Share of the cell's workers.
         share: f64,
-        /// When they are back.
+        /// When new workers join.
         back: f64,
     },
-    /// Short jobs come of which one task crashes each worker that starts it.
+    /// Short jobs arrive of which one task crashes each worker that starts it.
     Crashers {
-        /// From when on.
+        /// The start.
         at: f64,
-        /// For how long.
+        /// The duration.
         span: f64,
-        /// How many.
+        /// Number of jobs.
         jobs: u32,
     },
-    /// One of three data centres is emptied, and taken back later.
+    /// One of three data centres is evacuated for a time.
     Empty {
-        /// From when on.
+        /// The start.
         at: f64,
-        /// For how long.
+        /// The duration.
         span: f64,
     },
-    /// The store gives no answers.
+    /// The store doesn't answer.
     Silence {
-        /// From when on.
+        /// The start.
         at: f64,
-        /// For how long.
+        /// The duration.
         span: f64,
     },
 }
 
-/// What a cell goes through.
+/// A simulated course of load and faults for a cell.
 #[derive(Debug, Clone, PartialEq, Serialize)]
 pub struct Scene {
-    /// Its name.
+    /// Name in the report.
     pub name: &'static str,
-    /// How many workers the cell has.
+    /// Initial number of workers.
     pub workers: u16,
-    /// How long jobs come, in seconds.
+    /// How long jobs arrive, in seconds.
     pub length: f64,
-    /// The share of the cell that lasting jobs ask for at first.
+    /// The share of the cell that long-running jobs request at first.
     pub lasting: f64,
-    /// What happens.
+    /// Changes of load and faults.
     pub patterns: Vec<Pattern>,
 }
 
 impl Scene {
-    /// All scenes for a cell of some workers.
+    /// Returns all scenes for a cell with this number of workers.
     pub fn all(workers: u16) -> Vec<Self> {
         let scene = |name, lasting, patterns: &[Pattern]| Self {
             name,
@@ -107,12 +107,12 @@
         ]
     }
 
-    /// A scene by its name, if there is one.
+    /// Returns the scene of this name, if there is one.
     pub fn named(name: &str, workers: u16) -> Option<Self> {
         Self::all(workers).into_iter().find(|scene| scene.name == name)
     }
 
-    /// How many times the usual rate jobs come at a moment.
+    /// Returns the factor on the usual arrival rate at a time in seconds.
     pub fn rate(&self, now: f64) -> f64 {
         let bursts = self.patterns.iter().filter_map(|pattern| match *pattern {
             Pattern::Burst { at, span, times } => (at..at + span).contains(&now).then_some(times),
@@ -121,8 +121,8 @@
         bursts.fold(1.0, f64::max)
     }
 
-    /// Whether the store gives no answers at a moment.
-    pub fn silent(&self, now: f64) -> bool {
+    /// Returns whether the store is unavailable at a time in seconds.
+    pub fn store_unavailable(&self, now: f64) -> bool {
         self.patterns.iter().any(|pattern| match *pattern {
             Pattern::Silence { at, span } => (at..at + span).contains(&now),
             _ => false,
--- a/crates/load/src/overload/sim.rs
+++ b/crates/load/src/overload/sim.rs
@@ -1,4 +1,4 @@
-//! One course of a scene: the real owner, workers that are modelled, time that is virtual.
+//! Simulation of a scene with the real owner and modelled workers, in virtual time.
 
 use std::collections::BTreeMap;
 
@@ -6,50 +6,50 @@
 use rand_chacha::ChaCha8Rng;
 
 use myrtle_job::{Incarnation, JobId, OrderReply, Replacement, State, Submission};
-use myrtle_owner::{Batch, Cell, Order, Outcome as Answer, TimeLimits};
+use myrtle_owner::{Batch, Cell, Order, Outcome as OrderOutcome, TimeLimits};
 
 use super::crash::Crashes;
 use super::credit::{Account, share, worth};
-use super::draw::{self, CRASHES, Kind, millis, objective};
-use super::machine::{Machine, Presses, draw_presses};
+use super::draw::{self, CRASHING_BODY, Kind, millis, objective};
+use super::machine::{Interference, Machine, draw_interference};
 use super::scene::Scene;
 
-/// The length of a step, in milliseconds.
+/// Length of a simulation step, in milliseconds.
 pub(super) const STEP: u64 = 20;
 
-/// Steps between two looks of the owner at leases and loads.
-const LOOK: u64 = 5;
+/// Steps between two checks of leases and loads by the owner.
+const EXPIRE_STEPS: u64 = 5;
 
-/// Steps between two answers of a worker without ends.
-const REPORT: u64 = 20;
+/// Steps between two lease renewals of a worker without new ends.
+const RENEWAL_STEPS: u64 = 20;
 
-/// The time in which lasting jobs earn, in milliseconds.
-const SLOT: u64 = 2_000;
+/// Interval at which long-running jobs earn credit, in milliseconds.
+const CREDIT_PERIOD: u64 = 2_000;
 
-/// How long after the last job came the course goes on, in milliseconds.
-const AFTER: u64 = 6_000;
+/// Simulated time after the last arrival, in milliseconds.
+const DRAIN_TIME: u64 = 6_000;
 
-/// What came of a course.
+/// Figures of one simulation.
 #[derive(Debug, Clone)]
 pub struct Outcome {
-    /// What was earned.
+    /// Credit and latencies of the jobs.
     pub account: Account,
-    /// The most tasks that waited at once.
+    /// The peak number of waiting tasks.
     pub waiting: usize,
-    /// Work that was stopped before it was done, as a share of all that was begun.
-    pub vain: f64,
-    /// Workers that crashed by what they had started.
+    /// Starts whose task was moved, as a share of all starts.
+    pub moved_share: f64,
+    /// Number of crashes of workers.
     pub crashed: u32,
-    /// Runs that were started in a data centre that was being emptied.
-    pub strayed: u32,
+    /// Runs that were started in an evacuated data centre.
+    pub misplaced: u32,
 }
 
-/// A job that was handed in.
-pub(super) struct Given {
+/// A submitted job.
+pub(super) struct Submitted {
     kind: Kind,
-    at: u64,
+    arrived_at: u64,
     pub(super) submission: Submission,
-    over: Option<u64>,
+    completed_at: Option<u64>,
 }
 
 pub(super) struct Sim<'a> {
@@ -58,35 +58,36 @@
     pub(super) cell: Cell,
     pub(super) machines: BTreeMap<Incarnation, Machine>,
     pub(super) crashes: Crashes,
-    presses: Presses,
-    pub(super) given: BTreeMap<JobId, Given>,
+    interference: Interference,
+    pub(super) submitted: BTreeMap<JobId, Submitted>,
     batch: Option<Batch>,
     account: Account,
     waiting: usize,
-    strayed: u32,
-    /// The data centre that is being emptied.
-    pub(super) emptied: Option<&'static str>,
-    pub(super) lives: u16,
+    misplaced: u32,
+    /// The data centre that is evacuated now.
+    pub(super) evacuated: Option<&'static str>,
+    pub(super) next_worker: u16,
 }
 
-/// Plays a scene.
+/// Simulates a scene.
 pub fn replay(scene: &Scene, seed: u64) -> Outcome {
     let mut rng = ChaCha8Rng::seed_from_u64(seed);
     let mut sim = Sim::new(scene, &mut rng);
     let cores = sim.machines.values().map(|m| f64::from(m.listing.room.cpu)).sum();
     let mut jobs = draw::jobs(scene, cores, &mut rng).into_iter().peekable();
     let mut next = 1;
-    while sim.now < millis(scene.length) + AFTER {
+    while sim.now < millis(scene.length) + DRAIN_TIME {
         sim.now += STEP;
         while let Some((at, kind, submission)) = jobs.next_if(|(at, ..)| *at <= sim.now) {
             let id = JobId(rng.random::<u64>() | next);
             next += 1;
             sim.cell.admit(id, submission.clone(), sim.now, sim.now);
-            sim.given.insert(id, Given { kind, at, submission, over: None });
+            sim.submitted
+                .insert(id, Submitted { kind, arrived_at: at, submission, completed_at: None });
         }
         sim.step();
     }
-    sim.close()
+    sim.finish()
 }
 
 impl<'a> Sim<'a> {
@@ -99,14 +100,14 @@
             cell,
             machines: BTreeMap::new(),
             crashes: Crashes::default(),
-            presses: draw_presses(rng),
-            given: BTreeMap::new(),
+            interference: draw_interference(rng),
+            submitted: BTreeMap::new(),
             batch: None,
             account: Account::default(),
             waiting: 0,
-            strayed: 0,
-            emptied: None,
-            lives: 0,
+            misplaced: 0,
+            evacuated: None,
+            next_worker: 0,
         };
         (0..scene.workers).for_each(|_| sim.add());
         sim
@@ -114,51 +115,51 @@
 
     fn step(&mut self) {
         let now = self.now;
-        self.happen();
+        self.apply_patterns();
         self.crash();
         for machine in self.machines.values_mut() {
-            machine.work(now, STEP as f64, &self.presses);
+            machine.work(now, STEP as f64, &self.interference);
         }
-        let silent = self.scene.silent(now as f64 / 1_000.0);
-        self.report(silent);
-        if (now / STEP).is_multiple_of(LOOK) {
+        let unavailable = self.scene.store_unavailable(now as f64 / 1_000.0);
+        self.renew_leases(unavailable);
+        if (now / STEP).is_multiple_of(EXPIRE_STEPS) {
             self.cell.expire(now);
             self.cell.drain_leaving(now);
             self.cell.throttle_all(now);
             self.cell.give_up(now, now);
-            let again = self.cell.resend(now);
-            self.carry_out_all(again);
+            let resent = self.cell.resend(now);
+            self.carry_out_all(resent);
         }
         while self.cell.plan(now) {}
         let orders = self.cell.orders();
         self.carry_out_all(orders);
-        if !silent {
+        if !unavailable {
             self.commit();
         }
-        self.look();
+        self.record();
     }
 
-    /// Workers answer holds.
-    fn report(&mut self, silent: bool) {
+    /// Applies listings and the lease renewals that are due.
+    fn renew_leases(&mut self, unavailable: bool) {
         let now = self.now;
-        if silent {
+        if unavailable {
             self.cell.list_missed(now);
         }
         for (at, (name, machine)) in self.machines.iter_mut().enumerate() {
-            if !silent {
+            if !unavailable {
                 self.cell.apply_listing(name.id(), machine.listing.clone(), now);
             }
-            let due = (now / STEP + at as u64).is_multiple_of(REPORT);
-            if !due && !machine.news {
+            let due = (now / STEP + at as u64).is_multiple_of(RENEWAL_STEPS);
+            if !due && !machine.has_new_ends {
                 continue;
             }
             let seen = self.cell.renewal_args(name, now).map_or(0, |args| args.logged_ends);
-            let held = machine.hold(seen, now, &self.presses);
-            self.cell.renewed(name, held, now, now, now);
+            let runs = machine.renew(seen, now, &self.interference);
+            self.cell.renewed(name, runs, now, now, now);
         }
     }
 
-    /// The last batch is in the log, and the next one is on its way.
+    /// Commits the last batch to the log and takes the next one from the owner.
     fn commit(&mut self) {
         if let Some(batch) = self.batch.take() {
             let starts = self.cell.committed(batch, self.now);
@@ -174,17 +175,21 @@
     fn carry_out(&mut self, order: &Order) {
         let Some(machine) = self.machines.get_mut(order.worker()) else {
             let listing = self.cell.workers.get(order.worker()).and_then(|w| w.listing.as_ref());
-            let away = listing.is_some_and(|l| self.crashes.away(l.address));
-            return self.tell(
+            let restarting = listing.is_some_and(|l| self.crashes.restarting(l.address));
+            return self.deliver_reply(
                 order,
-                if away { Answer::Unsent } else { Answer::Replaced(Replacement::Other) },
+                if restarting {
+                    OrderOutcome::Unsent
+                } else {
+                    OrderOutcome::Replaced(Replacement::Other)
+                },
             );
         };
-        let told = match order {
+        let reply = match order {
             Order::Start { task, run, .. } => {
                 let centre = machine.listing.data_centre.as_str();
-                self.strayed += u32::from(self.emptied == Some(centre));
-                let step = &self.given[&task.job].submission.spec.steps[usize::from(task.step)];
+                self.misplaced += u32::from(self.evacuated == Some(centre));
+                let step = &self.submitted[&task.job].submission.spec.steps[usize::from(task.step)];
                 machine.start(*task, *run, step)
             }
             Order::Stop { task, run, .. } => {
@@ -192,83 +197,84 @@
                 OrderReply::Done
             }
             Order::Throttle { task, run, percent, .. } => {
-                machine.pace(*task, *run, *percent);
+                machine.throttle(*task, *run, *percent);
                 OrderReply::Done
             }
         };
-        if let (Order::Start { worker, task, .. }, OrderReply::Done) = (order, told) {
-            self.begun(worker, *task);
+        if let (Order::Start { worker, task, .. }, OrderReply::Done) = (order, reply) {
+            self.schedule_crash(worker, *task);
         }
-        self.tell(order, Answer::Replied(told));
+        self.deliver_reply(order, OrderOutcome::Replied(reply));
     }
 
-    fn tell(&mut self, order: &Order, answer: Answer) {
+    fn deliver_reply(&mut self, order: &Order, outcome: OrderOutcome) {
         let now = self.now;
         match order {
             Order::Start { worker, task, run, .. } => {
-                self.cell.start_replied(worker, *task, *run, answer, now);
+                self.cell.start_replied(worker, *task, *run, outcome, now);
             }
             Order::Stop { worker, task, run } => {
-                self.cell.stop_replied(worker, *task, *run, answer, now);
+                self.cell.stop_replied(worker, *task, *run, outcome, now);
             }
             Order::Throttle { .. } => {}
         }
     }
 
-    /// Notes which jobs are over and what lasting ones earn.
-    fn look(&mut self) {
+    /// Records completed jobs, credit of long-running ones and the peak of waiting tasks.
+    fn record(&mut self) {
         let now = self.now;
-        for (id, given) in self.given.iter_mut().filter(|(_, g)| g.over.is_none()) {
+        for (id, submitted) in self.submitted.iter_mut().filter(|(_, g)| g.completed_at.is_none()) {
             if self.cell.state(*id) == Some(State::Completed) {
-                given.over = Some(now);
+                submitted.completed_at = Some(now);
             }
         }
-        if now.is_multiple_of(SLOT) {
-            self.pay_lasting();
+        if now.is_multiple_of(CREDIT_PERIOD) {
+            self.credit_long_running();
         }
         self.waiting = self.waiting.max(self.cell.summary().waiting);
     }
 
-    fn pay_lasting(&mut self) {
+    fn credit_long_running(&mut self) {
         let now = self.now;
-        for (id, given) in self.given.iter().filter(|(_, g)| g.kind == Kind::Lasting) {
-            let objective = objective(&given.submission);
-            if now < given.at + SLOT.max(objective) {
+        for (id, submitted) in self.submitted.iter().filter(|(_, g)| g.kind == Kind::Lasting) {
+            let objective = objective(&submitted.submission);
+            if now < submitted.arrived_at + CREDIT_PERIOD.max(objective) {
                 continue;
             }
-            let (up, over) = self.machines.values().fold((0, 0), |(up, over), machine| {
-                let (u, o) = machine.serving(*id);
-                (up + u, over + o)
+            let (up, late) = self.machines.values().fold((0, 0), |(up, late), machine| {
+                let (u, o) = machine.serving_tasks(*id);
+                (up + u, late + o)
             });
-            let size = draw::asked(&given.submission);
-            let count = f64::from(given.submission.spec.steps[0].count);
-            let share = (up as f64 - over as f64) / count;
+            let size = draw::requested_cpu(&submitted.submission);
+            let count = f64::from(submitted.submission.spec.steps[0].count);
+            let share = (up as f64 - late as f64) / count;
             self.account.note(Kind::Lasting, worth(Kind::Lasting, size), share);
         }
     }
 
-    /// What jobs earned in the end.
-    fn close(mut self) -> Outcome {
-        // A job that crashes its workers earns nothing and is not missed.
-        let sound = |g: &&Given| g.kind != Kind::Lasting && &*g.submission.spec.body != CRASHES;
-        for given in self.given.values().filter(sound) {
+    /// Credits the other jobs and returns the figures.
+    fn finish(mut self) -> Outcome {
+        // Jobs that crash workers are excluded from the credit.
+        let counted =
+            |g: &&Submitted| g.kind != Kind::Lasting && &*g.submission.spec.body != CRASHING_BODY;
+        for submitted in self.submitted.values().filter(counted) {
             let work: f64 =
-                given.submission.spec.steps.iter().map(|s| s.work() * f64::from(s.count)).sum();
-            let took = given.over.map(|over| over - given.at);
-            let objective = objective(&given.submission);
-            // Those that came last had no time to be late.
-            if took.is_none() && self.now < given.at + 3 * objective {
+                submitted.submission.spec.steps.iter().map(|s| s.work() * f64::from(s.count)).sum();
+            let took = submitted.completed_at.map(|at| at - submitted.arrived_at);
+            let objective = objective(&submitted.submission);
+            // The last jobs had no time to pass their objective.
+            if took.is_none() && self.now < submitted.arrived_at + 3 * objective {
                 continue;
             }
-            self.account.note(given.kind, worth(given.kind, work), share(took, objective));
+            self.account.note(submitted.kind, worth(submitted.kind, work), share(took, objective));
             if let Some(took) = took {
-                self.account.took(given.kind, took);
+                self.account.record_latency(submitted.kind, took);
             }
         }
         let counts = self.cell.counts;
-        let vain = counts.moved as f64 / counts.starts.max(1) as f64;
+        let moved_share = counts.moved as f64 / counts.starts.max(1) as f64;
         let crashed = self.crashes.count;
-        let Self { account, waiting, strayed, .. } = self;
-        Outcome { account, waiting, vain, crashed, strayed }
+        let Self { account, waiting, misplaced, .. } = self;
+        Outcome { account, waiting, moved_share, crashed, misplaced }
     }
 }
