--- a/crates/load/src/callers.rs
+++ b/crates/load/src/callers.rs
@@ -19,60 +19,60 @@
 
 use myrtle_standin::body_mark;
 
-/// How long a caller waits beyond the deadline that it told.
-const SLACK: Duration = Duration::from_secs(3);
+/// How long a caller waits beyond the deadline of its request.
+const TIMEOUT_SLACK: Duration = Duration::from_secs(3);
 
-/// What a caller sends.
+/// Distribution of the requests of a caller.
 #[derive(Debug, Clone)]
 pub struct Mix {
-    /// The parties; the token of P is `demo-P`.
-    pub parties: Vec<String>,
-    /// Classes with the part of the requests that each has.
+    /// The customers; the token of customer C is `demo-C`.
+    pub customers: Vec<String>,
+    /// Classes with their shares of the requests.
     pub classes: Vec<(String, f64)>,
-    /// The part of the requests that is unsafe to repeat.
-    pub unsafe_part: f64,
-    /// Of those, the part that carries a key.
-    pub keyed_part: f64,
+    /// The share of requests that are unsafe to repeat.
+    pub unsafe_share: f64,
+    /// The share of unsafe requests that carry an idempotency key.
+    pub keyed_share: f64,
     /// The mean work of a request in microseconds.
     pub work_us: f64,
 }
 
-/// How a request came out for its caller.
+/// The outcome of a request for its caller.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Said {
+pub enum Outcome {
     /// It was answered in full.
     Answered,
     /// It was refused as not run.
     NotRun,
     /// The refusal says that it ran.
     Ran,
-    /// The refusal says that nobody knows.
+    /// The refusal says that it may have run.
     Unknown,
-    /// There was no answer at all.
-    Nothing,
+    /// No answer came before the timeout, or the connection failed.
+    NoAnswer,
 }
 
-/// One request as its caller saw it.
+/// A request and its outcome for the caller.
 #[derive(Debug, Clone)]
-pub struct Seen {
-    /// Its id.
+pub struct Observed {
+    /// The request's id.
     pub id: String,
     /// Whether it may run twice.
     pub safe: bool,
-    /// How it came out.
-    pub said: Said,
+    /// The outcome.
+    pub outcome: Outcome,
 }
 
-/// What all callers saw.
+/// Outcomes of the requests of all callers.
 #[derive(Debug, Default)]
-pub struct Book {
-    /// Every request.
-    pub seen: Mutex<Vec<Seen>>,
+pub struct Log {
+    /// All requests in call of completion.
+    pub seen: Mutex<Vec<Observed>>,
     /// Refusals by kind.
     pub refused: Mutex<BTreeMap<String, u64>>,
     /// Latencies in microseconds by class.
     pub latency: Mutex<BTreeMap<String, Histogram<u64>>>,
-    /// Answers that were cut, mixed up or another caller's.
+    /// Answers that are truncated or belong to another request.
     pub broken: Mutex<Vec<String>>,
 }
 
@@ -92,21 +92,21 @@
 #[derive(Debug, Clone)]
 pub struct Caller {
     client: Client<HttpConnector, Full<Bytes>>,
-    book: Arc<Book>,
+    log: Arc<Log>,
 }
 
-/// One request.
+/// A request to send.
 #[derive(Debug, Clone)]
-pub struct Order {
-    /// Its id.
+pub struct Call {
+    /// The request's id.
     pub id: String,
-    /// Who pays.
-    pub party: String,
-    /// Its class.
+    /// The customer.
+    pub customer: String,
+    /// The class of requests.
     pub class: String,
     /// Whether it may run twice.
     pub safe: bool,
-    /// Its key.
+    /// The idempotency key.
     pub key: Option<Uuid>,
     /// The work in microseconds.
     pub work: u64,
@@ -115,87 +115,87 @@
 }
 
 impl Caller {
-    /// A caller that writes into `book`.
-    pub fn new(book: Arc<Book>) -> Self {
-        Self { client: Client::builder(TokioExecutor::new()).build_http(), book }
+    /// Creates a caller that records outcomes in `log`.
+    pub fn new(log: Arc<Log>) -> Self {
+        Self { client: Client::builder(TokioExecutor::new()).build_http(), log }
     }
 
-    /// Sends a request to one gate and notes what came of it.
-    pub async fn send(&self, at: SocketAddr, order: &Order) -> Said {
-        let began = Instant::now();
-        let limit = Duration::from_secs(5) + SLACK;
-        let answer = tokio::time::timeout(limit, self.exchange(at, order)).await;
-        let said = match answer {
-            Ok(Ok((status, headers, body))) => self.judge(order, status, &headers, &body),
-            _ => Said::Nothing,
+    /// Sends a request to one gate and records the outcome.
+    pub async fn send(&self, at: SocketAddr, call: &Call) -> Outcome {
+        let start = Instant::now();
+        let limit = Duration::from_secs(5) + TIMEOUT_SLACK;
+        let answer = tokio::time::timeout(limit, self.exchange(at, call)).await;
+        let outcome = match answer {
+            Ok(Ok((status, headers, body))) => self.judge(call, status, &headers, &body),
+            _ => Outcome::NoAnswer,
         };
-        if said == Said::Answered {
-            let us = began.elapsed().as_micros() as u64;
-            let mut latency = self.book.latency.lock().expect("no holder panics");
-            let fresh = || Histogram::new_with_max(60_000_000, 3).expect("the bounds are valid");
-            latency.entry(order.class.clone()).or_insert_with(fresh).saturating_record(us);
+        if outcome == Outcome::Answered {
+            let us = start.elapsed().as_micros() as u64;
+            let mut latency = self.log.latency.lock().expect("lock not poisoned");
+            let histogram = || Histogram::new_with_max(60_000_000, 3).expect("valid bounds");
+            latency.entry(call.class.clone()).or_insert_with(histogram).saturating_record(us);
         }
-        let seen = Seen { id: order.id.clone(), safe: order.safe, said };
-        self.book.seen.lock().expect("no holder panics").push(seen);
-        said
+        let seen = Observed { id: call.id.clone(), safe: call.safe, outcome };
+        self.log.seen.lock().expect("lock not poisoned").push(seen);
+        outcome
     }
 
     async fn exchange(
         &self,
         at: SocketAddr,
-        order: &Order,
+        call: &Call,
     ) -> Result<(u16, HeaderMap, Bytes), Box<dyn std::error::Error + Send + Sync>> {
-        let method = if order.safe { Method::GET } else { Method::POST };
+        let method = if call.safe { Method::GET } else { Method::POST };
         let mut request = Request::builder()
             .method(method)
-            .uri(format!("http://{at}/{}", order.class))
-            .header("authorization", format!("Bearer demo-{}", order.party))
-            .header("myrtle-class", &order.class)
-            .header("x-request-id", &order.id)
-            .header("x-work-us", order.work);
-        if let Some(key) = order.key {
+            .uri(format!("http://{at}/{}", call.class))
+            .header("authorization", format!("Bearer demo-{}", call.customer))
+            .header("myrtle-class", &call.class)
+            .header("x-request-id", &call.id)
+            .header("x-work-us", call.work);
+        if let Some(key) = call.key {
             request = request.header("idempotency-key", key.to_string());
         }
-        let request = request.body(Full::from(order.body.clone()))?;
+        let request = request.body(Full::from(call.body.clone()))?;
         let answer = self.client.request(request).await?;
         let (head, body) = answer.into_parts();
         Ok((head.status.as_u16(), head.headers, body.collect().await?.to_bytes()))
     }
 
-    fn judge(&self, order: &Order, status: u16, headers: &HeaderMap, body: &[u8]) -> Said {
+    fn judge(&self, call: &Call, status: u16, headers: &HeaderMap, body: &[u8]) -> Outcome {
         if headers.contains_key("myrtle-kind") {
             return self.judge_refusal(body);
         }
         if status >= 500 {
-            return Said::Ran;
+            return Outcome::Ran;
         }
-        let whole = serde_json::from_slice::<Body>(body).ok();
+        let parsed = serde_json::from_slice::<Body>(body).ok();
         let own =
-            whole.is_some_and(|b| b.id == order.id && b.mark == body_mark(order.body.as_bytes()));
+            parsed.is_some_and(|b| b.id == call.id && b.mark == body_mark(call.body.as_bytes()));
         if !own {
-            let text = format!("{}: {}", order.id, String::from_utf8_lossy(body));
-            self.book.broken.lock().expect("no holder panics").push(text);
+            let text = format!("{}: {}", call.id, String::from_utf8_lossy(body));
+            self.log.broken.lock().expect("lock not poisoned").push(text);
         }
-        Said::Answered
+        Outcome::Answered
     }
 
-    fn judge_refusal(&self, body: &[u8]) -> Said {
+    fn judge_refusal(&self, body: &[u8]) -> Outcome {
         let Ok(refusal) = serde_json::from_slice::<Refusal>(body) else {
             let text = String::from_utf8_lossy(body).into_owned();
-            self.book.broken.lock().expect("no holder panics").push(text);
-            return Said::Unknown;
+            self.log.broken.lock().expect("lock not poisoned").push(text);
+            return Outcome::Unknown;
         };
-        let mut refused = self.book.refused.lock().expect("no holder panics");
+        let mut refused = self.log.refused.lock().expect("lock not poisoned");
         *refused.entry(refusal.kind).or_default() += 1;
         match refusal.ran.as_str() {
-            "no" => Said::NotRun,
-            "yes" => Said::Ran,
-            _ => Said::Unknown,
+            "no" => Outcome::NotRun,
+            "yes" => Outcome::Ran,
+            _ => Outcome::Unknown,
         }
     }
 }
 
-/// Sends requests one after the other until `end`, each to a random gate.
+/// Sends requests sequentially until `end`, each to a random gate.
 pub async fn drive(
     caller: Caller,
     gates: Vec<SocketAddr>,
@@ -208,36 +208,36 @@
     let mut n = 0;
     while Instant::now() < end {
         n += 1;
-        let order = order(&mix, &mut rng, seed, n);
+        let call = draw_call(&mix, &mut rng, seed, n);
         let gate = gates[rng.random_range(0..gates.len())];
-        let said = caller.send(gate, &order).await;
-        // A caller whose keyed request found no answer asks again with the key, elsewhere.
-        if order.key.is_some() && matches!(said, Said::Nothing | Said::NotRun) {
+        let outcome = caller.send(gate, &call).await;
+        // A keyed request that had no answer or did not run is retried at a random gate.
+        if call.key.is_some() && matches!(outcome, Outcome::NoAnswer | Outcome::NotRun) {
             let gate = gates[rng.random_range(0..gates.len())];
-            caller.send(gate, &order).await;
+            caller.send(gate, &call).await;
         }
         tokio::time::sleep(pause.mul_f64(rng.random_range(0.5..1.5))).await;
     }
 }
 
-fn order(mix: &Mix, rng: &mut ChaCha8Rng, seed: u64, n: u64) -> Order {
-    let party = mix.parties[rng.random_range(0..mix.parties.len())].clone();
+fn draw_call(mix: &Mix, rng: &mut ChaCha8Rng, seed: u64, n: u64) -> Call {
+    let customer = mix.customers[rng.random_range(0..mix.customers.len())].clone();
     let mut roll: f64 = rng.random();
-    let class = mix.classes.iter().find(|(_, part)| {
-        roll -= part;
+    let class = mix.classes.iter().find(|(_, share)| {
+        roll -= share;
         roll <= 0.0
     });
     let class = class.unwrap_or(&mix.classes[0]).0.clone();
-    let safe = rng.random::<f64>() >= mix.unsafe_part;
-    let keyed = !safe && rng.random::<f64>() < mix.keyed_part;
+    let safe = rng.random::<f64>() >= mix.unsafe_share;
+    let keyed = !safe && rng.random::<f64>() < mix.keyed_share;
     let id = format!("{seed}-{n}");
     let body = match safe {
         true => String::new(),
         false => format!("{id}:{}", "x".repeat(rng.random_range(10..2000))),
     };
-    Order {
+    Call {
         id,
-        party,
+        customer,
         class,
         safe,
         key: keyed.then(Uuid::now_v7),
--- a/crates/load/src/check.rs
+++ b/crates/load/src/check.rs
@@ -1,4 +1,4 @@
-//! Judges a run by what the stand-ins saw.
+//! Checks a run against the records of the stand-ins.
 
 use std::collections::BTreeMap;
 
@@ -6,13 +6,15 @@
 
 use myrtle_standin::{Run, Summary};
 
-use crate::callers::{Book, Said};
+use crate::callers::{Log, Outcome};
 
-/// Slots and connections of an upstream.
+/// Slots of an upstream.
 const SLOTS: u32 = 8;
+
+/// Most connections to an upstream.
 const CONNECTIONS: u32 = 64;
 
-/// A percentile line of one class, in microseconds.
+/// Latency percentiles of a class, in microseconds.
 #[derive(Debug, Default, Serialize)]
 pub struct Percentiles {
     /// The median.
@@ -23,7 +25,7 @@
     pub p999: u64,
 }
 
-/// What came of a run.
+/// Figures of a run and the guarantees that it violated.
 #[derive(Debug, Default, Serialize)]
 pub struct Report {
     /// Requests answered in full.
@@ -32,11 +34,11 @@
     pub refused: BTreeMap<String, u64>,
     /// Requests without any answer.
     pub unanswered: u64,
-    /// Attempts of tasks that workers began.
+    /// Attempts of tasks that workers started.
     pub started: usize,
     /// Attempts that were stopped before their end.
     pub evicted: usize,
-    /// Attempts that went on from a checkpoint.
+    /// Attempts that resumed from a checkpoint.
     pub resumed: usize,
     /// Answered requests that no upstream ran, and work lost after a confirmed stop.
     pub lost: usize,
@@ -48,26 +50,26 @@
     pub latency_us: BTreeMap<String, Percentiles>,
     /// Appends to the log.
     pub appends: u64,
-    /// The most slots in use at once at any upstream.
+    /// The peak number of slots in use at any upstream.
     pub most_busy: u32,
-    /// The most connections open at once at any upstream.
+    /// The peak number of open connections at any upstream.
     pub most_open: u32,
-    /// Promises that were broken, with the evidence.
+    /// Violated guarantees, with the evidence.
     pub broken: Vec<String>,
 }
 
-/// Judges a run.
-pub fn judge(book: &Book, summary: &Summary, in_force_ms: u64) -> Report {
+/// Checks a run and returns its figures.
+pub fn judge(log: &Log, summary: &Summary, in_force_ms: u64) -> Report {
     let mut report = Report { in_force_ms, ..Report::default() };
-    report.refused = book.refused.lock().expect("no holder panics").clone();
+    report.refused = log.refused.lock().expect("lock not poisoned").clone();
     report.started = summary.started;
     report.evicted = summary.stopped;
     report.resumed = summary.resumed;
     report.appends = summary.appends;
-    requests(book, summary, &mut report);
+    requests(log, summary, &mut report);
     tasks(summary, &mut report);
     upstreams(summary, &mut report);
-    for (class, h) in book.latency.lock().expect("no holder panics").iter() {
+    for (class, h) in log.latency.lock().expect("lock not poisoned").iter() {
         let p = |q| h.value_at_quantile(q);
         let line = Percentiles { p50: p(0.5), p99: p(0.99), p999: p(0.999) };
         report.latency_us.insert(class.clone(), line);
@@ -75,39 +77,39 @@
     report
 }
 
-/// Whether a stopped task went on in a later attempt, from where the stopped one ended.
+/// Returns whether the next attempt of a stopped task resumed where the stopped request ended.
 pub fn resumed(runs: &[Run], task: &str) -> bool {
     let of: Vec<&Run> = runs.iter().filter(|r| r.task == task).collect();
     of.windows(2).any(|w| w[1].attempt == w[0].attempt + 1 && w[1].first == w[0].last)
 }
 
-fn requests(book: &Book, summary: &Summary, report: &mut Report) {
-    for text in book.broken.lock().expect("no holder panics").iter() {
-        report.broken.push(format!("an answer was not whole or not the caller's own: {text}"));
+fn requests(log: &Log, summary: &Summary, report: &mut Report) {
+    for text in log.broken.lock().expect("lock not poisoned").iter() {
+        report.broken.push(format!("answer incomplete or for another request: {text}"));
     }
-    // A keyed request may have been sent several times: what counts is what was said at last.
-    let mut ends: BTreeMap<&str, (bool, Vec<Said>)> = BTreeMap::new();
-    let seen = book.seen.lock().expect("no holder panics");
-    for one in seen.iter() {
-        ends.entry(&one.id).or_insert((one.safe, Vec::new())).1.push(one.said);
+    // A keyed request may have been sent several times; its outcomes are checked together.
+    let mut by_id: BTreeMap<&str, (bool, Vec<Outcome>)> = BTreeMap::new();
+    let seen = log.seen.lock().expect("lock not poisoned");
+    for request in seen.iter() {
+        by_id.entry(&request.id).or_insert((request.safe, Vec::new())).1.push(request.outcome);
     }
-    for (id, (safe, said)) in ends {
+    for (id, (safe, outcomes)) in by_id {
         let ran = summary.requests.get(id).copied().unwrap_or_default();
-        if said.contains(&Said::Answered) {
+        if outcomes.contains(&Outcome::Answered) {
             report.answered += 1;
             if ran == 0 {
                 report.lost += 1;
                 report.broken.push(format!("{id} was answered but never ran"));
             }
         }
-        if said.iter().all(|s| *s == Said::Nothing) {
+        if outcomes.iter().all(|s| *s == Outcome::NoAnswer) {
             report.unanswered += 1;
         }
         if !safe && ran > 1 {
             report.doubled += 1;
             report.broken.push(format!("{id} is unsafe and ran {ran} times"));
         }
-        let all_not_run = said.iter().all(|s| *s == Said::NotRun);
+        let all_not_run = outcomes.iter().all(|s| *s == Outcome::NotRun);
         if all_not_run && ran > 0 {
             report.broken.push(format!("{id} was refused as not run but ran {ran} times"));
         }
@@ -125,7 +127,7 @@
         report.broken.push(format!("task {task} lost work after a confirmed stop"));
     }
     for text in &summary.overcommits {
-        report.broken.push(format!("a worker was given more than it has: {text}"));
+        report.broken.push(format!("a worker was given more than its room: {text}"));
     }
 }
 
--- a/crates/load/src/demo.rs
+++ b/crates/load/src/demo.rs
@@ -1,4 +1,4 @@
-//! The demo: load, faults in mid-run, and a report.
+//! The demo: load, injected faults, and a report.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -14,29 +14,29 @@
 use myrtle_platform::{Caller as Http, Host, HostList, Role};
 use myrtle_standin::{Run, Summary};
 
-use crate::callers::{Book, Caller, Mix, Order, drive};
+use crate::callers::{Call, Caller, Log, Mix, drive};
 use crate::check::{Report, judge, resumed};
 
-/// Callers at once.
+/// Concurrent callers.
 const CALLERS: u64 = 48;
 
 /// How long the load lasts.
-const LENGTH: Duration = Duration::from_secs(34);
+const DURATION: Duration = Duration::from_secs(34);
 
 /// The mean pause of a caller between two requests.
 const PAUSE: Duration = Duration::from_millis(25);
 
-/// How long the hosts may take to get ready.
-const READY: Duration = Duration::from_secs(15);
+/// How long gates may take to become ready.
+const READY_TIMEOUT: Duration = Duration::from_secs(15);
 
-/// How long an answer of a control interface may take.
-const LIMIT: Duration = Duration::from_secs(5);
+/// Timeout of calls to hosts and to the stand-in.
+const CALL_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// Longer than a lease.
-const FROZEN: Duration = Duration::from_secs(11);
+/// How long a gate is frozen, longer than its lease.
+const FREEZE_TIME: Duration = Duration::from_secs(11);
 
-/// Lines of the time line that are shown.
-const SHOWN: usize = 60;
+/// Most events of the timeline that are printed.
+const MAX_EVENTS: usize = 60;
 
 /// run the demo against started stand-ins and hosts
 #[derive(Debug, FromArgs)]
@@ -62,88 +62,89 @@
     json: bool,
 }
 
-/// What the demo needs of the running system.
-struct Stage {
+/// State of a demo run against the running system.
+struct Session {
     http: Http,
     control: SocketAddr,
     hosts: Vec<Host>,
     notes: Vec<String>,
     ring: Ring,
-    began: Instant,
-    loud: bool,
+    start: Instant,
+    verbose: bool,
 }
 
-/// Runs the demo; false if a promise was broken.
+/// Runs the demo; returns false if a guarantee was violated.
 pub async fn run(demo: &Demo) -> Result<bool, String> {
-    let mut stage = Stage::open(demo).await?;
-    let gates: Vec<SocketAddr> = stage.of(Role::Gate).map(|h| h.http).collect();
-    let book = Arc::new(Book::default());
+    let mut session = Session::open(demo).await?;
+    let gates: Vec<SocketAddr> = session.hosts_of(Role::Gate).map(|h| h.http).collect();
+    let log = Arc::new(Log::default());
     let mix = Arc::new(mix(&demo.scene));
-    let longer = if demo.freeze.is_some() { FROZEN } else { Duration::ZERO };
-    let end = Instant::now() + LENGTH + longer;
+    let longer = if demo.freeze.is_some() { FREEZE_TIME } else { Duration::ZERO };
+    let end = Instant::now() + DURATION + longer;
     let callers = (0..CALLERS).map(|n| {
-        let caller = Caller::new(book.clone());
+        let caller = Caller::new(log.clone());
         tokio::spawn(drive(caller, gates.clone(), mix.clone(), n, end, PAUSE))
     });
     let callers: Vec<_> = callers.collect();
-    let faults = stage.faults(demo, &book, &mix, &gates).await;
+    let faults = session.faults(demo, &log, &mix, &gates).await;
     for caller in callers {
         let _ = caller.await;
     }
     let mut broken = faults?;
-    let summary = stage.settle().await?;
-    let mut report = judge(&book, &summary, demo.in_force_ms);
+    let summary = session.settle().await?;
+    let mut report = judge(&log, &summary, demo.in_force_ms);
     report.broken.append(&mut broken);
-    let line = stage.time_line().await;
-    print(demo, &report, &stage.notes, &line);
+    let events = session.timeline().await;
+    print(demo, &report, &session.notes, &events);
     Ok(report.broken.is_empty())
 }
 
-impl Stage {
+impl Session {
     async fn open(demo: &Demo) -> Result<Self, String> {
         let http = Http::default();
         let list = HostList::new(http.clone(), demo.hosts);
-        let end = Instant::now() + READY;
+        let end = Instant::now() + READY_TIMEOUT;
         loop {
             let hosts = list.list().await.unwrap_or_default();
             let gates = hosts.iter().filter(|h| h.role == Role::Gate);
             let mut ready = 0;
             for gate in gates.clone() {
-                let call = http.call(hyper::Method::GET, gate.http, "/readyz", vec![], LIMIT);
+                let call =
+                    http.call(hyper::Method::GET, gate.http, "/readyz", vec![], CALL_TIMEOUT);
                 ready += usize::from(call.await.is_ok());
             }
             if ready > 0 && ready == gates.count() {
-                let began = Instant::now();
-                let (control, loud) = (demo.hosts, !demo.json);
+                let start = Instant::now();
+                let (control, verbose) = (demo.hosts, !demo.json);
                 let ring = Ring::new("demo");
-                return Ok(Self { http, control, hosts, notes: Vec::new(), ring, began, loud });
+                return Ok(Self { http, control, hosts, notes: Vec::new(), ring, start, verbose });
             }
             if Instant::now() > end {
-                return Err(format!("only {ready} gates are ready after {READY:?}"));
+                return Err(format!("only {ready} gates are ready after {READY_TIMEOUT:?}"));
             }
             tokio::time::sleep(Duration::from_millis(100)).await;
         }
     }
 
-    fn of(&self, role: Role) -> impl Iterator<Item = &Host> {
+    fn hosts_of(&self, role: Role) -> impl Iterator<Item = &Host> {
         self.hosts.iter().filter(move |h| h.role == role)
     }
 
     fn note(&mut self, text: impl Into<String>) {
-        let word = text.into();
-        let text = format!("{:>5} ms  {word}", self.began.elapsed().as_millis());
-        if self.loud {
+        let message = text.into();
+        let text = format!("{:>5} ms  {message}", self.start.elapsed().as_millis());
+        if self.verbose {
             println!("{text}");
         }
         self.notes.push(text);
-        self.ring.add("demo", word);
+        self.ring.add("demo", message);
     }
 
-    /// Lets things fail one after the other; returns promises that were broken on the way.
+    /// Injects the faults in sequence and returns the guarantees violated on the way.
     async fn faults(
         &mut self,
         demo: &Demo,
-        book: &Arc<Book>,
+        log: &Arc<Log>,
         mix: &Mix,
         gates: &[SocketAddr],
     ) -> Result<Vec<String>, String> {
@@ -155,43 +156,43 @@
         self.kill_sched(demo)?;
         tokio::time::sleep(Duration::from_secs(2)).await;
         let (victim, orphans) = self.kill_worker().await?;
-        self.twice(book, mix, gates).await;
+        self.send_twice(log, mix, gates).await;
         tokio::time::sleep(Duration::from_secs(5)).await;
         self.control(json!({"log": "away"})).await?;
-        self.note("the log is away");
+        self.note("the log is unavailable");
         tokio::time::sleep(Duration::from_secs(4)).await;
         self.control(json!({"log": "ok"})).await?;
-        self.note("the log is back");
+        self.note("the log is available");
         self.freeze_gate(demo).await?;
         tokio::time::sleep(Duration::from_secs(14)).await;
         let runs = self.runs().await?;
         if !resumed(&runs, &evicted) {
             broken.push(format!("the evicted task {evicted} did not resume"));
         }
-        let lost: Vec<_> = orphans.iter().filter(|t| !moved(&runs, t, &victim)).collect();
+        let lost: Vec<_> = orphans.iter().filter(|t| !ran_elsewhere(&runs, t, &victim)).collect();
         self.note(format!(
-            "{} of {} tasks of {victim} run or ended elsewhere",
+            "{} of {} tasks of {victim} ran on other workers",
             orphans.len() - lost.len(),
             orphans.len()
         ));
         broken.extend(lost.iter().map(|t| format!("task {t} of {victim} did not resume")));
         self.control(json!({"worker": [victim, "ok"]})).await?;
-        self.note(format!("worker {victim} is back in a new life"));
+        self.note(format!("worker {victim} is back as a new incarnation"));
         Ok(broken)
     }
 
-    /// Evicts a running task by an operator's word.
+    /// Evicts a running task as an operator would.
     async fn evict_task(&mut self) -> Result<String, String> {
         let runs = self.runs().await?;
         let running = runs.iter().rev().find(|r| r.to.is_none());
-        let task = running.map(|r| r.task.clone()).ok_or("nothing runs")?;
+        let task = running.map(|r| r.task.clone()).ok_or("no task is running")?;
         let centre = task.split('/').next().unwrap_or_default().to_string();
         let scheds: Vec<Host> =
-            self.of(Role::Sched).filter(|h| h.data_centre == centre).cloned().collect();
+            self.hosts_of(Role::Sched).filter(|h| h.data_centre == centre).cloned().collect();
         let mut last = String::new();
         for sched in scheds {
             let path = format!("/evict?task={task}");
-            match self.http.post::<Value>(sched.http, &path, &(), LIMIT).await {
+            match self.http.post::<Value>(sched.http, &path, &(), CALL_TIMEOUT).await {
                 Ok(_) => {
                     self.note(format!("task {task} evicted by an operator"));
                     return Ok(task);
@@ -209,23 +210,23 @@
         Ok(())
     }
 
-    /// Freezes a gate until its lease has lapsed, and lets it go on.
+    /// Freezes a gate until its lease has expired, then resumes it.
     async fn freeze_gate(&mut self, demo: &Demo) -> Result<(), String> {
         let Some(pid) = demo.freeze.map(Pid::from_raw) else { return Ok(()) };
         kill(pid, Signal::SIGSTOP).map_err(|e| e.to_string())?;
         self.note(format!("gate process {pid} frozen"));
-        tokio::time::sleep(FROZEN).await;
+        tokio::time::sleep(FREEZE_TIME).await;
         kill(pid, Signal::SIGCONT).map_err(|e| e.to_string())?;
-        self.note(format!("gate process {pid} goes on"));
+        self.note(format!("gate process {pid} resumed"));
         Ok(())
     }
 
-    /// Kills the worker with most tasks; returns its name and the tasks.
+    /// Kills the worker with the most tasks; returns its name and the tasks.
     async fn kill_worker(&mut self) -> Result<(String, Vec<String>), String> {
         let runs = self.runs().await?;
         let open = |name: &str| runs.iter().filter(|r| r.worker == name && r.to.is_none()).count();
-        let names: Vec<String> = self.of(Role::Worker).map(|h| h.name.clone()).collect();
-        let victim = names.into_iter().max_by_key(|n| open(n)).ok_or("no workers")?;
+        let names: Vec<String> = self.hosts_of(Role::Worker).map(|h| h.name.clone()).collect();
+        let victim = names.into_iter().max_by_key(|n| open(n)).ok_or("no worker is listed")?;
         let tasks = runs.iter().filter(|r| r.worker == victim && r.to.is_none());
         let tasks: Vec<String> = tasks.map(|r| r.task.clone()).collect();
         self.control(json!({"worker": [victim, "down"]})).await?;
@@ -234,14 +235,14 @@
         Ok((victim, tasks))
     }
 
-    /// Sends one keyed request to two gates at the same moment.
-    async fn twice(&mut self, book: &Arc<Book>, mix: &Mix, gates: &[SocketAddr]) {
-        let caller = Caller::new(book.clone());
-        let mut run = 0;
+    /// Sends each of 20 keyed requests to two gates concurrently.
+    async fn send_twice(&mut self, log: &Arc<Log>, mix: &Mix, gates: &[SocketAddr]) {
+        let caller = Caller::new(log.clone());
+        let mut same = 0;
         for n in 0..20 {
-            let order = Order {
+            let call = Call {
                 id: format!("twice-{n}"),
-                party: mix.parties[0].clone(),
+                customer: mix.customers[0].clone(),
                 class: mix.classes[0].0.clone(),
                 safe: false,
                 key: Some(Uuid::now_v7()),
@@ -249,41 +250,43 @@
                 body: format!("twice {n}"),
             };
             let (a, b) = (gates[n % gates.len()], gates[(n + 1) % gates.len()]);
-            let said = tokio::join!(caller.send(a, &order), caller.send(b, &order));
-            run += usize::from(said.0 == said.1);
+            let outcomes = tokio::join!(caller.send(a, &call), caller.send(b, &call));
+            same += usize::from(outcomes.0 == outcomes.1);
         }
-        self.note(format!("20 keyed requests sent to two gates each, {run} answered at both"));
+        self.note(format!(
+            "20 keyed requests sent to two gates each, {same} with the same outcome at both"
+        ));
     }
 
-    /// Waits until the jobs that end have ended, for a while, and reads the record.
+    /// Waits 2 s for jobs to end and reads the stand-in's record.
     async fn settle(&mut self) -> Result<Summary, String> {
         tokio::time::sleep(Duration::from_secs(2)).await;
-        self.http.get(self.control, "/record", LIMIT).await.map_err(|e| e.to_string())
+        self.http.get(self.control, "/record", CALL_TIMEOUT).await.map_err(|e| e.to_string())
     }
 
     async fn runs(&self) -> Result<Vec<Run>, String> {
-        self.http.get(self.control, "/runs", LIMIT).await.map_err(|e| e.to_string())
+        self.http.get(self.control, "/runs", CALL_TIMEOUT).await.map_err(|e| e.to_string())
     }
 
-    async fn control(&self, order: Value) -> Result<(), String> {
-        let done = self.http.post(self.control, "/control", &order, LIMIT).await;
+    async fn control(&self, control: Value) -> Result<(), String> {
+        let done = self.http.post(self.control, "/control", &control, CALL_TIMEOUT).await;
         done.map_err(|e| e.to_string())
     }
 
-    /// The events of all processes, in causal order.
-    async fn time_line(&self) -> Vec<Event> {
+    /// The events of all processes, in causal sequence.
+    async fn timeline(&self) -> Vec<Event> {
         let mut events = self.ring.since(Stamp(0));
-        for host in self.of(Role::Gate).chain(self.of(Role::Sched)) {
-            let told = self.http.get::<Vec<Event>>(host.http, "/events", LIMIT).await;
-            events.extend(told.unwrap_or_default());
+        for host in self.hosts_of(Role::Gate).chain(self.hosts_of(Role::Sched)) {
+            let reply = self.http.get::<Vec<Event>>(host.http, "/events", CALL_TIMEOUT).await;
+            events.extend(reply.unwrap_or_default());
         }
         events.sort_by(|a, b| (a.stamp, &a.host).cmp(&(b.stamp, &b.host)));
         events
     }
 }
 
-/// Whether a task of a dead worker went on or had ended elsewhere.
-fn moved(runs: &[Run], task: &str, victim: &str) -> bool {
+/// Returns whether a task of a killed worker ran on another worker.
+fn ran_elsewhere(runs: &[Run], task: &str, victim: &str) -> bool {
     runs.iter().any(|r| r.task == task && r.worker != victim)
 }
 
@@ -291,24 +294,24 @@
     let names = |list: &[&str]| list.iter().map(|n| n.to_string()).collect();
     match scene {
         "market" => Mix {
-            parties: names(&["moebel", "autos", "wohnungen"]),
+            customers: names(&["moebel", "autos", "wohnungen"]),
             classes: vec![("search".into(), 0.7), ("publish".into(), 0.3)],
-            unsafe_part: 0.3,
-            keyed_part: 0.8,
+            unsafe_share: 0.3,
+            keyed_share: 0.8,
             work_us: 8000.0,
         },
         _ => Mix {
-            parties: names(&["aegean", "epirus", "helios", "kyma", "olympus"]),
+            customers: names(&["aegean", "epirus", "helios", "kyma", "olympus"]),
             classes: vec![("check".into(), 0.7), ("gate-close".into(), 0.3)],
-            unsafe_part: 0.4,
-            keyed_part: 0.8,
+            unsafe_share: 0.4,
+            keyed_share: 0.8,
             work_us: 6000.0,
         },
     }
 }
 
-/// Whether an event belongs to what the demo shows, and not to every start and end of a task.
-fn telling(event: &Event) -> bool {
+/// Returns whether the demo prints an event; starts and ends of tasks are left out.
+fn is_shown(event: &Event) -> bool {
     const WORDS: [&str; 8] = [
         "evicted",
         "suspected",
@@ -319,18 +322,18 @@
         "rejected",
         "in force",
     ];
-    let first_life = event.text.contains("entered, life 1 ");
+    let first_start = event.text.contains("entered, life 1 ");
     let again = event.text.contains("entered, life");
-    event.part == "demo" || !first_life && (again || WORDS.iter().any(|w| event.text.contains(w)))
+    event.part == "demo" || !first_start && (again || WORDS.iter().any(|w| event.text.contains(w)))
 }
 
-fn print(demo: &Demo, report: &Report, notes: &[String], line: &[Event]) {
+fn print(demo: &Demo, report: &Report, notes: &[String], events: &[Event]) {
     if demo.json {
         println!("{}", json!(report));
         return;
     }
-    println!("\ntime line (part of it; 'myrtlectl timeline' shows all {} events)", line.len());
-    for event in line.iter().filter(|e| telling(e)).take(SHOWN) {
+    println!("\ntimeline (excerpt; 'myrtlectl timeline' shows all {} events)", events.len());
+    for event in events.iter().filter(|e| is_shown(e)).take(MAX_EVENTS) {
         let ms = event.stamp.millis() % 1_000_000;
         println!("  {ms:>6} {:14} {:7} {}", event.host, event.part, event.text);
     }
--- a/crates/load/src/lib.rs
+++ b/crates/load/src/lib.rs
@@ -1,4 +1,4 @@
-//! Load, experiments and their judgement. Not shipped.
+//! Load generation, checks of the results, and experiments. Not shipped.
 
 pub mod callers;
 pub mod check;
--- a/crates/load/src/main.rs
+++ b/crates/load/src/main.rs
@@ -1,4 +1,4 @@
-//! `myrtle-load`: drives the demo and checks the promises. Not shipped.
+//! `myrtle-load`: runs the demo, checks its results, and runs experiments. Not shipped.
 
 use std::process::ExitCode;
 
@@ -6,7 +6,7 @@
 
 use myrtle_load::{demo, overload, placing, policy, slopes, toll};
 
-/// Puts load on a running system and checks what came of it.
+/// Puts load on a running system and checks the results.
 #[derive(FromArgs)]
 struct Args {
     /// what to do
@@ -14,28 +14,28 @@
     command: Command,
 }
 
-/// What to do.
+/// The subcommand.
 #[derive(FromArgs)]
 #[argh(subcommand)]
 enum Command {
     /// Runs the demo.
     Demo(demo::Demo),
-    /// Compares ways to route requests.
+    /// Compares routing policies.
     Routing(policy::Routing),
-    /// Compares ways to place tasks.
+    /// Compares placement policies.
     Placing(placing::Placing),
-    /// Replays load at its worst against the owner of a cell.
+    /// Simulates extreme load against the owner of a cell.
     Overload(overload::Overload),
-    /// Measures the slopes of docs/CAPACITY.md.
+    /// Measures the marginal costs in docs/CAPACITY.md.
     Slopes(slopes::Slopes),
-    /// Measures what a gate adds.
+    /// Measures the overhead of a gate.
     Toll(toll::Toll),
 }
 
 #[tokio::main]
 async fn main() -> ExitCode {
     let args: Args = argh::from_env();
-    let kept = match args.command {
+    let passed = match args.command {
         Command::Demo(demo) => demo::run(&demo).await,
         Command::Routing(routing) => policy::run(&routing),
         Command::Placing(placing) => placing::run(&placing),
@@ -43,7 +43,7 @@
         Command::Slopes(_) => slopes::run(),
         Command::Toll(toll) => toll::run(&toll).await,
     };
-    match kept {
+    match passed {
         Ok(true) => ExitCode::SUCCESS,
         Ok(false) => ExitCode::from(1),
         Err(e) => {
--- a/crates/load/src/slopes.rs
+++ b/crates/load/src/slopes.rs
@@ -1,4 +1,4 @@
-//! Slopes for docs/CAPACITY.md: what one more of each thing costs.
+//! Marginal costs for docs/CAPACITY.md: bytes and time for one more worker, task or message.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -14,17 +14,21 @@
 use myrtle_platform::{Report, RunState, Start, SyncReply, SyncRequest, TaskUse, UsageReport};
 use myrtle_route::{Ask, Offer};
 
-/// A cell at the target size.
+/// Workers of a cell at the target size.
 const WORKERS: u32 = 100;
+
+/// Tasks of a cell at the target size.
 const TASKS: u32 = 3_500;
+
+/// Starts in one record.
 const STARTS: usize = 19;
 
-/// measure the slopes of docs/CAPACITY.md
+/// measure the marginal costs in docs/CAPACITY.md
 #[derive(Debug, FromArgs)]
 #[argh(subcommand, name = "slopes")]
 pub struct Slopes {}
 
-/// Measures and prints.
+/// Measures and prints the figures; always `Ok(true)`, since it checks none.
 pub fn run() -> Result<bool, String> {
     fold();
     placement();
@@ -56,7 +60,7 @@
     }
 }
 
-fn cell() -> Stream {
+fn full_cell() -> Stream {
     let mut stream = Stream { cell: Cell::default(), offset: 0, seq: 0, bytes: 0 };
     let hosts = (0..18).map(|n| format!("zone-07-s{n:02}")).collect();
     stream.fold(vec![Op::Genesis { hosts }]);
@@ -96,16 +100,16 @@
 }
 
 fn fold() {
-    let mut stream = cell();
-    let state = postcard_size(&stream.cell);
+    let mut stream = full_cell();
+    let state = snapshot_size(&stream.cell);
     println!(
         "cell of {WORKERS} workers and {TASKS} tasks: {state} B as a snapshot, {} kB resident",
-        resident_of(|| cell().cell)
+        resident_of(|| full_cell().cell)
     );
-    // Tasks end and are started again: three commands for a start.
+    // Every task that ends is started again, with three commands for a start.
     let before = stream.bytes;
     let (mut count, mut starts) = (0_u64, 0);
-    let began = Instant::now();
+    let start = Instant::now();
     let mut attempt = vec![1_u16; TASKS as usize];
     for round in 0..20_000_u32 {
         let mut ops = Vec::with_capacity(STARTS * 3);
@@ -122,13 +126,13 @@
         starts += STARTS;
         stream.fold(ops);
     }
-    let rate = count as f64 / began.elapsed().as_secs_f64();
+    let rate = count as f64 / start.elapsed().as_secs_f64();
     let bytes = (stream.bytes - before) as f64 / starts as f64;
     println!(
         "fold: {rate:.0} commands/s with encoding, {bytes:.1} B a start in records of {STARTS}"
     );
     let totals = stream.cell.totals();
-    println!("after it {} tasks run", totals.running);
+    println!("tasks running afterwards: {}", totals.running);
 }
 
 fn placement() {
@@ -143,7 +147,7 @@
     };
     let mut fleet = Fleet { machines: (0..1_400).map(machine).collect() };
     let mut placer = Learned::new(4, 32, 1);
-    let began = Instant::now();
+    let start = Instant::now();
     let mut placed = 0;
     for n in 0..20_000_u32 {
         let (kind, room) = ((n % 12) as u16, Room::new(0.5, 2_000, 0));
@@ -153,23 +157,25 @@
             placed += 1;
         }
     }
-    let us = began.elapsed().as_secs_f64() * 1e6 / 20_000.0;
+    let us = start.elapsed().as_secs_f64() * 1e6 / 20_000.0;
     println!("placement: {us:.1} us at 1400 workers, {placed} of 20000 placed");
 }
 
 fn messages() {
-    let at: SocketAddr = "10.20.30.40:5000".parse().expect("it is an address");
+    let at: SocketAddr = "10.20.30.40:5000".parse().expect("valid address");
     let gate = |n: usize| format!("zone-07-g{n:02}");
-    let keep = |n: usize| Coordinator {
+    let coordinator = |n: usize| Coordinator {
         gate: gate(n % 18),
         since: Millis(1 << 40),
         term: 9,
         reassigned: true,
     };
-    let mut units = BTreeMap::new();
-    units.extend((0..100).map(|n| (Resource::Upstream(format!("zone-07-w{n:04}")), keep(n))));
-    units.extend((0..450).map(|n| (Resource::Customer(format!("party-{n:03}")), keep(n))));
-    units.extend((0..32).map(|n| (Resource::Keys(n), keep(n as usize))));
+    let mut resources = BTreeMap::new();
+    resources
+        .extend((0..100).map(|n| (Resource::Upstream(format!("zone-07-w{n:04}")), coordinator(n))));
+    resources
+        .extend((0..450).map(|n| (Resource::Customer(format!("party-{n:03}")), coordinator(n))));
+    resources.extend((0..32).map(|n| (Resource::Keys(n), coordinator(n as usize))));
     let upstream = |n: usize| UpstreamView {
         name: format!("zone-07-w{n:04}"),
         service: "nomgate".into(),
@@ -178,12 +184,12 @@
     };
     let peering = Peering {
         next: 1 << 30,
-        units,
+        units: resources,
         gates: (0..18).map(|n| (gate(n), 1 << 40)).collect(),
         peers: (0..18).map(|n| (gate(n), ("zone-07".into(), at))).collect(),
         upstreams: (0..100).map(upstream).collect(),
     };
-    println!("a gate's whole view: {} B", bincode_size(&peering));
+    println!("a gate's full view: {} B", bincode_size(&peering));
     let pulse = Pulse {
         gates: vec![GateSeen { name: gate(1), boot: 1 << 40, age: Millis(300) }],
         loads: (0..6).map(|worker| WorkerLoad { worker, percent: 80, slow: 70 }).collect(),
@@ -195,16 +201,16 @@
         .collect();
     let offers: Vec<(Resource, Offer)> =
         asks.iter().map(|(u, _)| (u.clone(), Offer { lent: 1, fair: 1 })).collect();
-    println!("asks and offers of 6 units: {} B", bincode_size(&asks) + bincode_size(&offers));
-    syncs();
+    println!("asks and offers of 6 resources: {} B", bincode_size(&asks) + bincode_size(&offers));
+    worker_messages();
 }
 
-fn syncs() {
-    let quiet = SyncRequest { boot: 1, lease: Some(Millis(1 << 40)), ..SyncRequest::default() };
+fn worker_messages() {
+    let idle = SyncRequest { boot: 1, lease: Some(Millis(1 << 40)), ..SyncRequest::default() };
     let reply = SyncReply { boot: 1, clock: Millis(1 << 40), seen: 99, ..SyncReply::default() };
-    println!("a quiet exchange with a worker: {} B", json_size(&quiet) + json_size(&reply));
+    println!("an idle exchange with a worker: {} B", json_size(&idle) + json_size(&reply));
     let task = || "zone-07/12345.17".to_string();
-    let start = Start {
+    let order = Start {
         task: task(),
         attempt: 1,
         room: Room::new(0.5, 2_000, 0),
@@ -214,7 +220,7 @@
         leased: true,
     };
     let report = Report { task: task(), attempt: 1, state: RunState::Running, checkpoint: 4 };
-    println!("a start: {} B, a report: {} B", json_size(&start), json_size(&report));
+    println!("a start: {} B, a report: {} B", json_size(&order), json_size(&report));
     let used = TaskUse { task: task(), room: Room::new(0.4, 1_800, 0) };
     let usage = UsageReport { at: Millis(1 << 40), p99_us: 60_000, tasks: vec![used; 35] };
     println!("a usage report of 35 tasks: {} B", json_size(&usage));
@@ -241,20 +247,20 @@
     let change = Change { id, base: 0, by: "operator".into(), desired };
     println!("a change of 24 jobs: {} B", ConfigRecord::Change(change.clone()).encode().len());
     let mut config = Config::default();
-    let began = Instant::now();
+    let start = Instant::now();
     for n in 0..2_000 {
         let id = uuid::Uuid::now_v7();
         config.fold(n, Change { id, ..change.clone() });
     }
-    println!("a change is folded in {:.0} us", began.elapsed().as_secs_f64() * 1e6 / 2_000.0);
+    println!("folding a change: {:.0} us", start.elapsed().as_secs_f64() * 1e6 / 2_000.0);
 }
 
-fn postcard_size(cell: &Cell) -> usize {
+fn snapshot_size(cell: &Cell) -> usize {
     let snapshot = myrtle_cell::Snapshot { cell: cell.clone() };
     Record::Snapshot(Box::new(snapshot)).encode().len()
 }
 
-/// The bytes that a message takes between our processes.
+/// Returns the bytes of a message between our processes.
 fn bincode_size<T: serde::Serialize>(value: &T) -> usize {
     bincode::serialized_size(value).unwrap_or_default() as usize
 }
@@ -263,11 +269,11 @@
     serde_json::to_vec(value).map_or(0, |v| v.len())
 }
 
-/// Kilobytes by which eight values let the process grow, for one of them.
+/// Returns the resident kilobytes of a value, averaged over eight of them.
 fn resident_of<T>(make: impl Fn() -> T) -> u64 {
     let before = crate::toll::resident();
-    let kept: Vec<T> = (0..8).map(|_| make()).collect();
+    let values: Vec<T> = (0..8).map(|_| make()).collect();
     let after = crate::toll::resident();
-    drop(kept);
+    drop(values);
     after.saturating_sub(before) / 8
 }
--- a/crates/load/src/toll.rs
+++ b/crates/load/src/toll.rs
@@ -1,4 +1,4 @@
-//! What a gate adds to a request: against direct connections to the same upstreams, in one run.
+//! Overhead of a gate, compared in request run with direct connections to the same upstreams.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -18,16 +18,16 @@
 use myrtle_platform::Role;
 use myrtle_standin::{Plan, World, until};
 
-/// Upstreams in the run.
+/// Number of upstreams.
 const UPSTREAMS: usize = 8;
 
-/// Callers at once for throughput.
+/// Concurrent callers for the throughput figures.
 const CALLERS: u64 = 32;
 
-/// Rounds of direct and gate in turn.
+/// Rounds, with direct requests first and then requests by the gate.
 const ROUNDS: u64 = 5;
 
-/// measure what one gate adds to a request
+/// measure the overhead of request gate
 #[derive(Debug, FromArgs)]
 #[argh(subcommand, name = "toll")]
 pub struct Toll {
@@ -38,7 +38,7 @@
 
 type Http = Client<HttpConnector, Full<Bytes>>;
 
-/// Measures and prints; false if memory grew by more than a tenth after the first round.
+/// Prints the figures; returns false if memory grew by more than a tenth after the first round.
 pub async fn run(toll: &Toll) -> Result<bool, String> {
     let world = World::start(&Plan { workers: UPSTREAMS, ..Plan::default() }).await;
     let world = world.map_err(|e| e.to_string())?;
@@ -53,71 +53,73 @@
     until("the gate is ready", || gate.ready()).await;
     let upstreams: Vec<SocketAddr> =
         world.hosts.list().iter().filter(|h| h.role == Role::Worker).map(|h| h.peer).collect();
-    let through = vec![gate.http];
-    let each = toll.requests / ROUNDS / 2;
+    let gates = vec![gate.http];
+    let per_round = toll.requests / ROUNDS / 2;
     let mut figures = Vec::new();
     let mut memory = Vec::new();
     for _ in 0..ROUNDS {
-        let direct = (latency(&upstreams, each / 10).await, throughput(&upstreams, each).await);
-        let gated = (latency(&through, each / 10).await, throughput(&through, each * 2).await);
-        figures.push((direct, gated));
+        let direct =
+            (latency(&upstreams, per_round / 10).await, throughput(&upstreams, per_round).await);
+        let via_gate =
+            (latency(&gates, per_round / 10).await, throughput(&gates, per_round * 2).await);
+        figures.push((direct, via_gate));
         memory.push(resident());
     }
     figures.sort_by_key(|f| f.1.0);
-    let (direct, gated) = &figures[figures.len() / 2];
-    let ratio = gated.1 / direct.1;
+    let (direct, via_gate) = &figures[figures.len() / 2];
+    let ratio = via_gate.1 / direct.1;
     println!(
         "median direct {} us, through the gate {} us, added {} us",
         direct.0,
-        gated.0,
-        gated.0.saturating_sub(direct.0)
+        via_gate.0,
+        via_gate.0.saturating_sub(direct.0)
     );
     println!(
         "throughput direct {:.0}/s, through the gate {:.0}/s, ratio {ratio:.2}",
-        direct.1, gated.1
+        direct.1, via_gate.1
     );
     println!("memory of the whole process after each round: {memory:?} kB");
     let (first, last) = (memory[0] as f64, memory[memory.len() - 1] as f64);
     Ok(last <= first * 1.1)
 }
 
-/// The median latency of one caller in microseconds.
-async fn latency(ats: &[SocketAddr], count: u64) -> u64 {
+/// Measures the median latency for request caller, in microseconds.
+async fn latency(addrs: &[SocketAddr], count: u64) -> u64 {
     let http = client();
-    let mut histogram: Histogram<u64> = Histogram::new(3).expect("the precision is valid");
+    let mut histogram: Histogram<u64> = Histogram::new(3).expect("valid precision");
     histogram.auto(true);
     for n in 0..count {
-        let began = Instant::now();
-        one(&http, ats[n as usize % ats.len()]).await;
-        let _ = histogram.record(began.elapsed().as_nanos() as u64 / 1000);
+        let start = Instant::now();
+        send(&http, addrs[n as usize % addrs.len()]).await;
+        let _ = histogram.record(start.elapsed().as_nanos() as u64 / 1000);
     }
     histogram.value_at_quantile(0.5)
 }
 
-/// Requests a second of many callers.
-async fn throughput(ats: &[SocketAddr], count: u64) -> f64 {
-    let began = Instant::now();
+/// Measures the requests per second of concurrent callers.
+async fn throughput(addrs: &[SocketAddr], count: u64) -> f64 {
+    let start = Instant::now();
     let callers = (0..CALLERS).map(|c| {
-        let ats = Arc::new(ats.to_vec());
+        let addrs = Arc::new(addrs.to_vec());
         tokio::spawn(async move {
             let http = client();
             for n in 0..count / CALLERS {
-                one(&http, ats[(n + c) as usize % ats.len()]).await;
+                send(&http, addrs[(n + c) as usize % addrs.len()]).await;
             }
         })
     });
     join_all(callers).await;
-    count as f64 / began.elapsed().as_secs_f64()
+    count as f64 / start.elapsed().as_secs_f64()
 }
 
-async fn one(http: &Http, at: SocketAddr) {
+async fn send(http: &Http, at: SocketAddr) {
     let request = Request::builder()
         .uri(format!("http://{at}/x"))
         .header("authorization", "Bearer demo-helios")
         .header("x-request-id", "toll")
         .header("x-work-us", "0")
         .body(Full::default())
-        .expect("the parts are valid");
+        .expect("valid request");
     if let Ok(answer) = http.request(request).await {
         let _ = answer.into_body().collect().await;
     }
@@ -131,7 +133,7 @@
         .build(connector)
 }
 
-/// Resident memory in kilobytes, 0 where it cannot be read.
+/// Returns the resident memory in kilobytes, 0 where it can't be read.
 pub fn resident() -> u64 {
     let status = std::fs::read_to_string("/proc/self/status").unwrap_or_default();
     let line = status.lines().find(|l| l.starts_with("VmRSS:"));
